--- a/spokeroute/register/acceptor/claim_ages.py
+++ b/spokeroute/register/acceptor/claim_ages.py
@@ -17,12 +17,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimAges:
-    """How long this disk's processes ran by now, and which births it has not noted yet: they are
+    """How long this disk's processes ran by now, and which births it has not with_new yet: they are
     saved with the next write."""
 
     loaded: Map[str, int] = field(default_factory=Map)  # births, by the disk's running time
-    earlier_ms: int = 0  # how long the disk's earlier processes ran
-    since_ms: Ms = Ms(0)  # when the disk's running time began, by this process's clock
+    previous_uptime_ms: int = 0  # how long the disk's earlier processes ran
+    uptime_origin_ms: Ms = Ms(0)  # when the disk's running time began, by this process's clock
     now_ms: Ms = Ms(-1)
     unsaved: tuple[tuple[str, int], ...] = ()
 
@@ -30,47 +30,50 @@
         """The ages at a moment; the first one ties the disk's running time to this clock.
 
         Example:
-            >>> ClaimAges(earlier_ms=500).at(Ms(2_000)).since_ms
+            >>> ClaimAges(previous_uptime_ms=500).at(Ms(2_000)).uptime_origin_ms
             1500
         """
-        since_ms = self.since_ms if self.now_ms >= 0 else Ms(now_ms - self.earlier_ms)
-        return replace(self, since_ms=since_ms, now_ms=now_ms)
+        uptime_origin_ms = (
+            self.uptime_origin_ms if self.now_ms >= 0 else Ms(now_ms - self.previous_uptime_ms)
+        )
+        return replace(self, uptime_origin_ms=uptime_origin_ms, now_ms=now_ms)
 
     @property
-    def ran_ms(self) -> int:
+    def total_uptime_ms(self) -> int:
         """How long this disk's processes ran, all lives together.
 
         Example:
-            >>> ClaimAges(earlier_ms=500).at(Ms(2_000)).at(Ms(2_030)).ran_ms
+            >>> ClaimAges(previous_uptime_ms=500).at(Ms(2_000)).at(Ms(2_030)).total_uptime_ms
             530
         """
-        return self.now_ms - self.since_ms if self.now_ms >= 0 else self.earlier_ms
+        return self.now_ms - self.uptime_origin_ms if self.now_ms >= 0 else self.previous_uptime_ms
 
-    def births(self) -> Map[str, Ms]:
+    def first_seen_ms(self) -> Map[str, Ms]:
         """When the claims that were loaded came here, by this process's clock.
 
         Example:
             >>> ClaimAges(Map({"claim/k": 100}), 500).at(Ms(2_000)).births()["claim/k"]
             1600
         """
-        return Map({name: Ms(self.since_ms + at_ms) for name, at_ms in self.loaded.items()})
+        return Map({name: Ms(self.uptime_origin_ms + at_ms) for name, at_ms in self.loaded.items()})
 
-    def noted(self, before: Mapping[str, Ms], after: Mapping[str, Ms]) -> ClaimAges:
+    def with_new(self, before: Mapping[str, Ms], after: Mapping[str, Ms]) -> ClaimAges:
         """With the births of claims that came since, to be saved with the next write.
 
         Example:
-            >>> ClaimAges(earlier_ms=500).at(Ms(2_000)).noted({}, {"claim/k": Ms(2_000)}).unsaved
+            >>> ages = ClaimAges(previous_uptime_ms=500).at(Ms(2_000))
+            >>> ages.with_new({}, {"claim/k": Ms(2_000)}).unsaved
             (('claim/k', 500),)
         """
         new = [name for name in after if name.startswith(CLAIM_PREFIX) and name not in before]
-        births = tuple((name, after[name] - self.since_ms) for name in sorted(new))
-        return replace(self, unsaved=(*self.unsaved, *births))
+        first_seen_ms = tuple((name, after[name] - self.uptime_origin_ms) for name in sorted(new))
+        return replace(self, unsaved=(*self.unsaved, *first_seen_ms))
 
-    def again(self, births: tuple[tuple[str, int], ...]) -> ClaimAges:
+    def with_unsaved(self, first_seen_ms: tuple[tuple[str, int], ...]) -> ClaimAges:
         """With the births of a write that failed, to be saved with another.
 
         Example:
             >>> ClaimAges().again((("claim/k", 5),)).unsaved
             (('claim/k', 5),)
         """
-        return replace(self, unsaved=(*births, *self.unsaved))
+        return replace(self, unsaved=(*first_seen_ms, *self.unsaved))
--- a/spokeroute/register/acceptor/copy_page.py
+++ b/spokeroute/register/acceptor/copy_page.py
@@ -36,13 +36,13 @@
     return CopyPart(epoch, after, tuple(page), "")
 
 
-def merged(cell: Cell, got: CopyCell) -> Cell:
+def merge_cell(cell: Cell, got: CopyCell) -> Cell:
     """A joining member's cell with another's: the higher promise, and the later accept. Where some
     member promised a later ballot, the value may have lost to one that was not copied: it is taken
     up, and counts as no vote.
 
     Example:
-        >>> merged(Cell(), CopyCell(3, "a", Cell().copy("x"), b"")).promised.counter
+        >>> merge_cell(Cell(), CopyCell(3, "a", Cell().copy("x"), b"")).promised.counter
         3
     """
     promised = max(cell.promised, Ballot(got.promised_counter, MemberId(got.promised_member)))
--- a/spokeroute/register/acceptor/events.py
+++ b/spokeroute/register/acceptor/events.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TakeCells:
+class ImportCells:
     """From the membership: cells copied from an old member while joining."""
 
     cells: tuple[CopyCell, ...]
@@ -33,14 +33,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AbsentNow:
+class AbsentInstances:
     """From placement: instances on the floor that are gone or going by the newest listing."""
 
     instances: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class CellTaken:
+class CellAccepted:
     """To the role: this member accepted a value of its register, chosen or not."""
 
     copy: Copy
--- a/spokeroute/register/acceptor/ageing.py
+++ b/spokeroute/register/acceptor/expiry.py
@@ -9,11 +9,11 @@
 from spokeroute.common.ids import CLAIM_PREFIX, NUMBER_PREFIX, Ms
 from spokeroute.register.numbers import outdated
 
-CLAIM_KEEP_MS = 900_000
-AGEING = (CLAIM_PREFIX, NUMBER_PREFIX)
+CLAIM_RETENTION_MS = 900_000
+EXPIRING_PREFIXES = (CLAIM_PREFIX, NUMBER_PREFIX)
 
 
-def age(
+def expire(
     names: Iterable[str], born: Map[str, Ms], in_force: int, now_ms: Ms
 ) -> tuple[Map[str, Ms], tuple[str, ...]]:
     """When this process first met each register that ages, and those that go now.
@@ -21,21 +21,21 @@
     ``in_force`` is an operator's number that is proved to have been in force.
 
     Example:
-        >>> age(["claim/k1"], Map({"claim/k1": Ms(0)}), 0, Ms(CLAIM_KEEP_MS + 1))[1]
+        >>> age(["claim/k1"], Map({"claim/k1": Ms(0)}), 0, Ms(CLAIM_RETENTION_MS + 1))[1]
         ('claim/k1',)
     """
     met = born.mutate()
     numbers: list[str] = []
     drops: list[str] = []
     for name in names:
-        if not name.startswith(AGEING):
+        if not name.startswith(EXPIRING_PREFIXES):
             continue
         since_ms = met.get(name, now_ms)
         if name not in met:
             met[name] = now_ms
         if name.startswith(NUMBER_PREFIX):
             numbers.append(name)
-        elif now_ms - since_ms > CLAIM_KEEP_MS:
+        elif now_ms - since_ms > CLAIM_RETENTION_MS:
             drops.append(name)
     known = met.finish()
     drops.extend(outdated(tuple(numbers), in_force, known, now_ms))
--- a/spokeroute/register/acceptor/outage.py
+++ b/spokeroute/register/acceptor/outage.py
@@ -24,10 +24,10 @@
 )
 from spokeroute.transport.messages import CopyAsk, FetchAsk, HeldAsk, Probe
 
-HEAD_BYTES = 256  # of a cell on disk, besides its value
+CELL_HEADER_BYTES = 256  # of a cell on disk, besides its value
 
 
-def reads_only(event: object) -> bool:
+def is_read(event: object) -> bool:
     """Whether a peer's message is answered from what is synced, and changes nothing.
 
     Example:
@@ -54,14 +54,14 @@
         votes=state.synced_votes,
         cells=state.synced,
         dirty=frozenset(),
-        waiting=(),
-        drops=(),
+        pending_replies=(),
+        deletions=(),
         meta_dirty=False,
         writing=None,
         writing_replies=(),
-        took_ms=_of_synced(state),
-        copied=Map(),
-        ages=state.ages.again(state.writing.born if state.writing else ()),
+        claim_accepted_ms=_synced_claim_times(state),
+        copy_progress=Map(),
+        ages=state.ages.with_unsaved(state.writing.first_seen_ms if state.writing else ()),
         outage=outage,
         pause_ms=next_pause_ms(state.pause_ms),
     )
@@ -75,10 +75,10 @@
 def _size_bytes(write: DiskWrite | None) -> int:
     if write is None:
         return 0
-    return sum(len(cell.value) + HEAD_BYTES for _, cell in write.cells)
+    return sum(len(cell.value) + CELL_HEADER_BYTES for _, cell in write.cells)
 
 
-def _of_synced(state: State) -> Map[str, Ms]:
+def _synced_claim_times(state: State) -> Map[str, Ms]:
     """When claims were accepted: of those only whose synced value is the one in memory."""
 
     def digest(cells: Map[str, Cell], name: str) -> str:
@@ -87,7 +87,7 @@
     return Map(
         {
             name: at_ms
-            for name, at_ms in state.took_ms.items()
+            for name, at_ms in state.claim_accepted_ms.items()
             if digest(state.cells, name) == digest(state.synced, name)
         }
     )
@@ -104,13 +104,13 @@
             state = replace(state, outage=replace(outage, reopening=True))
             return state, (Launch(ReopenStore(outage.probe_bytes)),)
         case ReopenFailed(reason) if outage.reopening:
-            return _stays(state, outage, reason, now_ms)
+            return _reopen_failed(state, outage, reason, now_ms)
         case StoreReopened() as found if outage.reopening:
-            return _ended(state, outage, found, now_ms)
+            return _reopened(state, outage, found, now_ms)
     return state, ()
 
 
-def _stays(state: State, outage: Outage, reason: str, now_ms: Ms) -> tuple[State, Effects]:
+def _reopen_failed(state: State, outage: Outage, reason: str, now_ms: Ms) -> tuple[State, Effects]:
     """The next attempt comes after a longer pause."""
     pause_ms = next_pause_ms(outage.pause_ms)
     note = () if reason == outage.reason else (Note(f"the store stays read-only: {reason}"),)
@@ -124,7 +124,9 @@
     return replace(state, outage=outage), note
 
 
-def _ended(state: State, outage: Outage, found: StoreReopened, now_ms: Ms) -> tuple[State, Effects]:
+def _reopened(
+    state: State, outage: Outage, found: StoreReopened, now_ms: Ms
+) -> tuple[State, Effects]:
     """Start from what the disk has: the batch that failed may be on it."""
     state = replace(
         state,
@@ -134,7 +136,7 @@
         synced=found.cells,
         synced_roster=found.roster,
         synced_votes=found.votes,
-        whole=state.whole or found.votes,
+        holds_all_accepted=state.holds_all_accepted or found.votes,
         outage=None,
     )
     note = Note(f"the store takes writes again after {now_ms - outage.since_ms} ms")
--- a/spokeroute/register/acceptor/probed.py
+++ b/spokeroute/register/acceptor/probe_replies.py
@@ -15,14 +15,14 @@
 if TYPE_CHECKING:
     from spokeroute.register.acceptor.state import State
 
-INLINE_BYTES = 128 * 1024
+MAX_INLINE_BYTES = 128 * 1024
 
 
-def probed(state: State, node: NodeId, probe: Probe) -> Effects:
+def reply_to_probe(state: State, node: NodeId, probe: Probe) -> Effects:
     """The answer of a member that votes, by its disk; no other's counts.
 
     Example:
-        probed(state, NodeId("e1"), probe)
+        reply_to_probe(state, NodeId("e1"), probe)
     """
     roster, synced = state.synced_roster, state.synced
     if roster is None or not state.synced_votes:
@@ -37,7 +37,7 @@
         value = synced[copy.name].value
         if patch is not None:
             patches.append(patch)
-        elif len(value) <= INLINE_BYTES:
+        elif len(value) <= MAX_INLINE_BYTES:
             values.append(FetchGot(copy, value))
     told = unlike(probe.named, copies)
     same = bool(state.absent) and probe.absent == absent_fingerprint(state.absent)
@@ -48,11 +48,11 @@
     return (Send(node, ack),)
 
 
-def fetched(state: State, node: NodeId, ask: FetchAsk) -> Effects:
+def reply_to_fetch(state: State, node: NodeId, ask: FetchAsk) -> Effects:
     """The one value that is asked for, if this member has synced it.
 
     Example:
-        fetched(state, NodeId("e1"), FetchAsk("floor", 7, digest))
+        reply_to_fetch(state, NodeId("e1"), FetchAsk("floor", 7, digest))
     """
     cell = state.synced.get(ask.name, EMPTY)
     if (cell.version, cell.digest) != (ask.version, ask.digest):
@@ -69,7 +69,7 @@
     """
     value = state.synced[copy.name].value
     for digest in have:
-        base = state.earlier.find(copy.name, digest)
+        base = state.recent_values.find(copy.name, digest)
         patch = make_patch(digest, base, copy, value) if base else None
         if patch is not None:
             return patch
--- a/spokeroute/register/acceptor/earlier_values.py
+++ b/spokeroute/register/acceptor/recent_values.py
@@ -10,13 +10,13 @@
 from spokeroute.common.replacing import replace
 from spokeroute.register.cells import EMPTY, Cell
 
-PATCHED = (CONFIGURATION, FLOOR)
-KEPT_VALUES = 96  # a placement table changes up to some 20 times a second
-KEPT_BYTES = 6 * 1024 * 1024
+PATCHED_REGISTERS = (CONFIGURATION, FLOOR)
+MAX_RECENT_VALUES = 96  # a placement table changes up to some 20 times a second
+MAX_RECENT_BYTES = 6 * 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
-class EarlierValue:
+class RecentValue:
     """One synced value of a register."""
 
     name: str
@@ -25,22 +25,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EarlierValues:
+class RecentValues:
     """Values by register and digest, oldest first, bounded by count and by bytes.
 
     Example:
-        >>> EarlierValues().find("floor", "")
+        >>> RecentValues().find("floor", "")
         b''
     """
 
-    kept: tuple[EarlierValue, ...] = ()
+    kept: tuple[RecentValue, ...] = ()
     size_bytes: int = 0
 
     def find(self, name: str, digest: str) -> bytes:
         """A register's value of a digest; empty where it is not kept.
 
         Example:
-            >>> EarlierValues().noted("floor", "d", b"value").find("floor", "d")
+            >>> RecentValues().with_value("floor", "d", b"value").find("floor", "d")
             b'value'
         """
         for each in reversed(self.kept):
@@ -48,31 +48,31 @@
                 return each.value
         return b""
 
-    def noted(self, name: str, digest: str, value: bytes) -> EarlierValues:
+    def with_value(self, name: str, digest: str, value: bytes) -> RecentValues:
         """With one more value, without the oldest that there is no room for.
 
         Example:
-            >>> EarlierValues().noted("floor", "d", b"value").size_bytes
+            >>> RecentValues().with_value("floor", "d", b"value").size_bytes
             5
         """
         if not value or self.find(name, digest):
             return self
-        kept = (*self.kept, EarlierValue(name, digest, value))
+        kept = (*self.kept, RecentValue(name, digest, value))
         size_bytes = self.size_bytes + len(value)
-        while len(kept) > KEPT_VALUES or size_bytes > KEPT_BYTES:
+        while len(kept) > MAX_RECENT_VALUES or size_bytes > MAX_RECENT_BYTES:
             size_bytes -= len(kept[0].value)
             kept = kept[1:]
         return replace(self, kept=kept, size_bytes=size_bytes)
 
 
-def note_synced(earlier: EarlierValues, cells: Mapping[str, Cell]) -> EarlierValues:
+def with_synced_values(earlier: RecentValues, cells: Mapping[str, Cell]) -> RecentValues:
     """The values that are about to be replaced by later ones, kept.
 
     Example:
-        >>> note_synced(EarlierValues(), {}).kept
+        >>> with_synced_values(RecentValues(), {}).kept
         ()
     """
-    for name in PATCHED:
+    for name in PATCHED_REGISTERS:
         cell = cells.get(name, EMPTY)
-        earlier = earlier.noted(name, cell.digest, cell.value)
+        earlier = earlier.with_value(name, cell.digest, cell.value)
     return earlier
--- a/spokeroute/register/acceptor/state.py
+++ b/spokeroute/register/acceptor/state.py
@@ -9,8 +9,8 @@
 from spokeroute.common.effects import Effect
 from spokeroute.common.ids import MemberId, Ms
 from spokeroute.register.acceptor.claim_ages import ClaimAges
-from spokeroute.register.acceptor.earlier_values import EarlierValues
 from spokeroute.register.acceptor.outage_state import FIRST_PAUSE_MS, Outage
+from spokeroute.register.acceptor.recent_values import RecentValues
 from spokeroute.register.cells import Cell, Roster
 from spokeroute.register.disk.store import DiskWrite
 
@@ -25,28 +25,34 @@
     cells: Map[str, Cell] = field(default_factory=Map)
     synced: Map[str, Cell] = field(default_factory=Map)
     dirty: frozenset[str] = frozenset()
-    waiting: tuple[Effect, ...] = ()
-    drops: tuple[str, ...] = ()
+    pending_replies: tuple[Effect, ...] = ()
+    deletions: tuple[str, ...] = ()
     meta_dirty: bool = False
     writing: DiskWrite | None = None
     writing_replies: tuple[Effect, ...] = ()
     synced_roster: Roster | None = None
     synced_votes: bool = False
     batch: int = 0
-    writing_ms: Ms = Ms(0)  # since when the present sync runs
-    sync_ms: int = 0  # how long the last one took
+    write_started_ms: Ms = Ms(0)  # since when the present sync runs
+    last_sync_ms: int = 0  # how long the last one took
     outage: Outage | None = None  # while the store takes no writes
     pause_ms: int = FIRST_PAUSE_MS  # before the store is opened again, should a write fail
-    whole: bool = False  # it voted, by its disk, in this process's life: it has all it accepted
-    born: Map[str, Ms] = field(default_factory=Map)  # claims and numbers, by this process's clock
+    holds_all_accepted: bool = (
+        False  # it voted, by its disk, in this process's life: it has all it accepted
+    )
+    first_seen_ms: Map[str, Ms] = field(
+        default_factory=Map
+    )  # claims and numbers, by this process's clock
     in_force: int = 0  # an operator's number that was proved to be in force
-    took_ms: Map[str, Ms] = field(default_factory=Map)  # claims: when this process accepted it
-    age_ms: Ms = Ms(0)
+    claim_accepted_ms: Map[str, Ms] = field(
+        default_factory=Map
+    )  # claims: when this process accepted it
+    next_expiry_ms: Ms = Ms(0)
     absent: tuple[str, ...] = ()
-    quiet: bool = False  # it is about to end, and accepts nothing more
+    stopping: bool = False  # it is about to end, and accepts nothing more
     ages: ClaimAges = ClaimAges()
-    copied: Map[str, str] = field(default_factory=Map)  # under this epoch, while it joins
-    earlier: EarlierValues = EarlierValues()  # what patches for the copies elsewhere begin from
+    copy_progress: Map[str, str] = field(default_factory=Map)  # under this epoch, while it joins
+    recent_values: RecentValues = RecentValues()  # what patches for the copies elsewhere begin from
 
     @property
     def epoch(self) -> int:
@@ -88,7 +94,7 @@
         synced=cells,
         synced_roster=roster,
         synced_votes=votes,
-        whole=votes,
+        holds_all_accepted=votes,
         ages=ages,
-        copied=copied,
+        copy_progress=copied,
     )
--- a/spokeroute/register/anti_entropy/page.py
+++ b/spokeroute/register/anti_entropy/page.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 
 from spokeroute.common.ids import CLAIM_PREFIX, NO_BALLOT, Ballot, MemberId, Ms
-from spokeroute.register.acceptor.ageing import CLAIM_KEEP_MS
+from spokeroute.register.acceptor.expiry import CLAIM_RETENTION_MS
 from spokeroute.register.anti_entropy.cell_index import CellIndex
 from spokeroute.register.cells import Cell
 from spokeroute.transport.anti_entropy_messages import CellPiece, CellsAsk, CellsPart
@@ -13,7 +13,7 @@
 LEAST_PAGE_BYTES = 8 * 1024
 MOST_PAGE_BYTES = 128 * 1024
 PIECE_BYTES = 200  # what a piece takes besides its name and data
-CLAIM_HAND_MS = CLAIM_KEEP_MS - 60_000  # a claim about to be dropped is not handed on
+CLAIM_HAND_MS = CLAIM_RETENTION_MS - 60_000  # a claim about to be dropped is not handed on
 
 
 def page_of(
--- a/spokeroute/register/disk/loaded.py
+++ b/spokeroute/register/disk/loaded.py
@@ -23,9 +23,9 @@
     votes: bool
     cells: Map[str, Cell]
     starts: int = 1
-    born: Map[str, int] = Map()  # claims: at which running time of this disk they came
-    ran_ms: int = 0  # how long this disk's processes ran, all lives together
-    copied: Map[str, str] = Map()  # while it joins: old members, and up to which name
+    first_seen_ms: Map[str, int] = Map()  # claims: at which running time of this disk they came
+    total_uptime_ms: int = 0  # how long this disk's processes ran, all lives together
+    copy_progress: Map[str, str] = Map()  # while it joins: old members, and up to which name
 
 
 def births(txn: Any, meta: Any) -> Map[str, int]:
--- a/spokeroute/register/disk/store.py
+++ b/spokeroute/register/disk/store.py
@@ -15,12 +15,14 @@
 
     batch: int
     cells: tuple[tuple[str, Cell], ...]
-    drops: tuple[str, ...]
+    deletions: tuple[str, ...]
     roster: Roster | None
     votes: bool
-    born: tuple[tuple[str, int], ...] = ()  # claims: at which running time of the disk they came
-    ran_ms: int = 0  # how long the disk's processes ran by now, all lives together
-    copied: Map[str, str] = Map()  # while it joins: old members, and up to which name
+    first_seen_ms: tuple[
+        tuple[str, int], ...
+    ] = ()  # claims: at which running time of the disk they came
+    total_uptime_ms: int = 0  # how long the disk's processes ran by now, all lives together
+    copy_progress: Map[str, str] = Map()  # while it joins: old members, and up to which name
 
 
 @dataclass(frozen=True, slots=True)
--- a/spokeroute/register/membership/held.py
+++ b/spokeroute/register/membership/held.py
@@ -59,7 +59,7 @@
         case HandNames() as asked:
             return state, handed_on(state.synced, state.epoch, asked)
         case Quiet(quiet):
-            return replace(state, quiet=quiet), ()
+            return replace(state, stopping=quiet), ()
     return state, ()
 
 
--- a/spokeroute/register/membership/membership.py
+++ b/spokeroute/register/membership/membership.py
@@ -13,7 +13,7 @@
 from spokeroute.common.effects import Effect, Effects, From, Note, Send, Tell, Tick
 from spokeroute.common.ids import ROSTER, Address, Epoch, Ms, NodeId
 from spokeroute.common.replacing import replace
-from spokeroute.register.acceptor.events import Adopt, Adopted, TakeCells
+from spokeroute.register.acceptor.events import Adopt, Adopted, ImportCells
 from spokeroute.register.cells import Roster, pack_roster, read_roster, unpack_roster
 from spokeroute.register.changes import Ask, Outcome, RosterIs, Settled, Swap
 from spokeroute.register.disk.store import StoreWritable
@@ -244,7 +244,7 @@
     state = replace(state, copied=copied, copy_asked_ms=state.copy_asked_ms.set(node, now_ms))
     # The last page is asked for again after a restart, and ends the copy then.
     reached = ((node, part.last),) if part.last else ()
-    effects: list[Effect] = [Tell("acceptor", TakeCells(part.cells, reached))]
+    effects: list[Effect] = [Tell("acceptor", ImportCells(part.cells, reached))]
     if part.last:
         effects.append(Send(node, CopyAsk(part.epoch, part.last)))
     whole = [m for m in roster.previous if copied.get(m) == "."]
--- a/spokeroute/register/proposer/accepts.py
+++ b/spokeroute/register/proposer/accepts.py
@@ -51,6 +51,6 @@
     patch = ask.patch
     cell = state.cells.get(patch.copy.name, EMPTY)
     same = cell.digest == patch.base
-    base = cell.value if same else state.earlier.find(patch.copy.name, patch.base)
+    base = cell.value if same else state.recent_values.find(patch.copy.name, patch.base)
     value = apply_patch(patch, base) if base else None
     return Accept(ask.epoch, patch.copy, value) if value is not None else None
--- a/tests/sim/disk.py
+++ b/tests/sim/disk.py
@@ -49,13 +49,13 @@
     def put(self, job: DiskWrite) -> None:
         """A batch is there, wholly."""
         self.cells.update(job.cells)
-        for name in job.drops:
+        for name in job.deletions:
             self.cells.pop(name, None)
             self.born.pop(name, None)
-        self.born.update(job.born)
-        self.ran_ms = job.ran_ms or self.ran_ms
-        if job.copied and job.roster is not None:
-            self.copied = (job.roster.epoch, dict(job.copied))
+        self.born.update(job.first_seen_ms)
+        self.ran_ms = job.total_uptime_ms or self.ran_ms
+        if job.copy_progress and job.roster is not None:
+            self.copied = (job.roster.epoch, dict(job.copy_progress))
         if job.roster is not None:
             self.roster, self.votes = job.roster, job.votes
 
--- a/tests/test_absent_told_once.py
+++ b/tests/test_absent_told_once.py
@@ -9,7 +9,7 @@
 
 from spokeroute.common.effects import From, Send, Tick
 from spokeroute.common.ids import SPREAD, Address, Epoch, Incarnation, MemberId, Ms, NodeId
-from spokeroute.register.acceptor.probed import probed
+from spokeroute.register.acceptor.probe_replies import reply_to_probe
 from spokeroute.register.cells import Roster
 from spokeroute.register.replica import replica
 from spokeroute.register.replica.named_copies import absent_fingerprint
@@ -25,7 +25,7 @@
 def answer(sim: Sim, absent: tuple[str, ...], named: bytes) -> ProbeAck:
     state = replace(sim.registries[0].state("acceptor"), absent=absent)
     probe = Probe(1, state.synced_roster.epoch, (), (), (), (), False, (), -1, absent=named)
-    (sent,) = probed(state, NodeId("e1"), probe)
+    (sent,) = reply_to_probe(state, NodeId("e1"), probe)
     assert isinstance(sent, Send) and isinstance(sent.message, ProbeAck)
     return sent.message
 
--- a/tests/test_catch_up_links.py
+++ b/tests/test_catch_up_links.py
@@ -194,7 +194,11 @@
     for life in range(4):
         disk = Disk(tmp_path, 16)
         loaded = disk.load()
-        ages = ClaimAges(loaded=loaded.born, earlier_ms=loaded.ran_ms) if kept else ClaimAges()
+        ages = (
+            ClaimAges(loaded=loaded.first_seen_ms, previous_uptime_ms=loaded.total_uptime_ms)
+            if kept
+            else ClaimAges()
+        )
         state = acceptor.start(ME, ROSTER, True, loaded.cells, ages)
         clock_ms = 1_000_000 * (7 - life)  # each process has a clock of its own
         events: list[tuple[int, object]] = [(at, Tick()) for at in range(0, 10 * MINUTE_MS, 500)]
--- a/tests/test_numbers.py
+++ b/tests/test_numbers.py
@@ -23,7 +23,7 @@
 )
 from spokeroute.register.acceptor import acceptor
 from spokeroute.register.acceptor.acceptor import DiskDone, DiskWrite
-from spokeroute.register.acceptor.ageing import CLAIM_KEEP_MS
+from spokeroute.register.acceptor.expiry import CLAIM_RETENTION_MS
 from spokeroute.register.cells import Cell, Roster
 from spokeroute.register.changes import Ask, Outcome, Read, Settled
 from spokeroute.register.numbers import (
@@ -157,7 +157,7 @@
 def test_a_member_keeps_the_newest_numbers() -> None:
     state = aged(NUMBERS_KEPT + 5, NUMBERS_KEPT + 5)
     assert kept(state) == [number_register(n) for n in range(6, NUMBERS_KEPT + 6)]
-    assert state.writing is not None and len(state.writing.drops) == 5
+    assert state.writing is not None and len(state.writing.deletions) == 5
     assert len(kept(aged(NUMBERS_KEPT, NUMBERS_KEPT))) == NUMBERS_KEPT
 
 
@@ -193,14 +193,14 @@
         return effects
 
     state, _ = acceptor.step(state, Tick(0), Ms(0))
-    prepare("floor", CLAIM_KEEP_MS)  # a sync is under way
-    state, _ = acceptor.step(state, Tick(0), Ms(CLAIM_KEEP_MS + 10_000))
+    prepare("floor", CLAIM_RETENTION_MS)  # a sync is under way
+    state, _ = acceptor.step(state, Tick(0), Ms(CLAIM_RETENTION_MS + 10_000))
     assert "claim/k" not in state.cells
-    prepare("claim/k", CLAIM_KEEP_MS + 10_001)
-    state, effects = acceptor.step(state, DiskDone(1), Ms(CLAIM_KEEP_MS + 10_002))
+    prepare("claim/k", CLAIM_RETENTION_MS + 10_001)
+    state, effects = acceptor.step(state, DiskDone(1), Ms(CLAIM_RETENTION_MS + 10_002))
     (write,) = (e.job for e in effects if isinstance(e, Launch))
     assert isinstance(write, DiskWrite)
-    assert [name for name, _ in write.cells] == ["claim/k"] and write.drops == ()
+    assert [name for name, _ in write.cells] == ["claim/k"] and write.deletions == ()
 
 
 # on clusters
--- a/tests/test_old_lives.py
+++ b/tests/test_old_lives.py
@@ -285,7 +285,7 @@
     ask = Prepare(1, "floor", 9, "m1")
     state, _ = acceptor.step(state, From(MEMBERS[1], LIFE, ask), Ms(0))
     old = CopyCell(1, "m2", Copy("floor", 1, digest_of(b"old"), 4, "m2"), b"old")
-    state, _ = acceptor.step(state, acceptor.TakeCells((old,)), Ms(1))
+    state, _ = acceptor.step(state, acceptor.ImportCells((old,)), Ms(1))
     assert state.cells["floor"].version == 0
 
 
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -15,7 +15,7 @@
 from spokeroute.ledger.entries import Record
 from spokeroute.ledger.writer import LedgerFailed, LedgerWrite, LedgerWritten
 from spokeroute.register.acceptor import acceptor
-from spokeroute.register.acceptor.acceptor import Adopt, Adopted, TakeCells
+from spokeroute.register.acceptor.acceptor import Adopt, Adopted, ImportCells
 from spokeroute.register.anti_entropy.cell_index import CatchUp
 from spokeroute.register.cells import Cell, Roster, digest_of
 from spokeroute.register.disk.store import (
@@ -109,7 +109,7 @@
     copied = CopyCell(9, ME, Copy(NAME, 9, digest_of(b"c"), 9, ME), b"c")
     newer = Roster(Epoch(4), ROSTER.members)
     for event in (
-        peer(Prepare(3, NAME, 9, ME)), accept(9, b"x"), TakeCells((copied,)), Adopt(newer, True),
+        peer(Prepare(3, NAME, 9, ME)), accept(9, b"x"), ImportCells((copied,)), Adopt(newer, True),
         peer(HandOver(3, Copy(NAME, 9, digest_of(b"h"), 9, ME), b"h")), DiskDone(1),
         DiskFailed("again"), Tick(),
     ):  # fmt: skip
--- a/tests/test_patches.py
+++ b/tests/test_patches.py
@@ -29,7 +29,11 @@
 )
 from spokeroute.dispatch.configuration.value import pack_configuration, unpack_configuration
 from spokeroute.dispatch.placement.table import UP, Floor, Placed, pack_floor, unpack_floor
-from spokeroute.register.acceptor.earlier_values import KEPT_BYTES, KEPT_VALUES, EarlierValues
+from spokeroute.register.acceptor.recent_values import (
+    MAX_RECENT_BYTES,
+    MAX_RECENT_VALUES,
+    RecentValues,
+)
 from spokeroute.register.cells import digest_of
 from spokeroute.register.packed import pack
 from spokeroute.register.patches import apply_patch, make_patch, runs_of
@@ -138,16 +142,16 @@
 
 
 def test_earlier_values_are_bounded_by_count_and_by_bytes() -> None:
-    kept = EarlierValues()
-    for number in range(3 * KEPT_VALUES):
-        kept = kept.noted(FLOOR, str(number), b"value")
-    assert len(kept.kept) == KEPT_VALUES and not kept.find(FLOOR, "0")
-    assert kept.find(FLOOR, str(3 * KEPT_VALUES - 1)) == b"value"
-    assert not kept.find(CONFIGURATION, str(3 * KEPT_VALUES - 1))
-    large = bytes(KEPT_BYTES // 2)
+    kept = RecentValues()
+    for number in range(3 * MAX_RECENT_VALUES):
+        kept = kept.with_value(FLOOR, str(number), b"value")
+    assert len(kept.kept) == MAX_RECENT_VALUES and not kept.find(FLOOR, "0")
+    assert kept.find(FLOOR, str(3 * MAX_RECENT_VALUES - 1)) == b"value"
+    assert not kept.find(CONFIGURATION, str(3 * MAX_RECENT_VALUES - 1))
+    large = bytes(MAX_RECENT_BYTES // 2)
     for number in range(5):
-        kept = kept.noted(CONFIGURATION, f"large {number}", large)
-    assert kept.size_bytes <= KEPT_BYTES and kept.find(CONFIGURATION, "large 4")
+        kept = kept.with_value(CONFIGURATION, f"large {number}", large)
+    assert kept.size_bytes <= MAX_RECENT_BYTES and kept.find(CONFIGURATION, "large 4")
 
 
 def test_a_table_reads_back_and_what_did_not_change_is_the_same_object() -> None:
--- a/tools/model/disk.py
+++ b/tools/model/disk.py
@@ -28,7 +28,7 @@
         cells = self.cells.mutate()
         for name, cell in write.cells:
             cells[name] = cell
-        for name in write.drops:
+        for name in write.deletions:
             cells.pop(name, None)
         if write.roster is None:
             return replace(self, cells=cells.finish())
--- a/tools/model/patches.py
+++ b/tools/model/patches.py
@@ -48,9 +48,11 @@
 
 def _with_epoch(before: Any, after: Any, epoch: int) -> Any:
     """The answer names the epoch that was asked for."""
-    old = len(before.waiting)
-    new = tuple(replace(e, message=replace(e.message, epoch=epoch)) for e in after.waiting[old:])
-    return replace(after, waiting=(*before.waiting, *new))
+    old = len(before.pending_replies)
+    new = tuple(
+        replace(e, message=replace(e.message, epoch=epoch)) for e in after.pending_replies[old:]
+    )
+    return replace(after, pending_replies=(*before.pending_replies, *new))
 
 
 def handover_any_epoch() -> tuple[Patch, ...]:
@@ -59,12 +61,12 @@
     Example:
         handover_any_epoch()
     """
-    real = acceptor._handed
+    real = acceptor._accept_handover
 
     def faulty(state: Any, hand: Any, now_ms: Any) -> Any:
         return real(state, replace(hand, epoch=state.epoch), now_ms)
 
-    return ((acceptor, "_handed", faulty),)
+    return ((acceptor, "_accept_handover", faulty),)
 
 
 def handover_below_promise() -> tuple[Patch, ...]:
@@ -73,7 +75,7 @@
     Example:
         handover_below_promise()
     """
-    real = acceptor._handed
+    real = acceptor._accept_handover
 
     def faulty(state: Any, hand: Any, now_ms: Any) -> Any:
         name = hand.copy.name
@@ -81,7 +83,7 @@
         after = real(replace(state, cells=state.cells.set(name, bare)), hand, now_ms)
         return after if after.cells[name] != bare else state
 
-    return ((acceptor, "_handed", faulty),)
+    return ((acceptor, "_accept_handover", faulty),)
 
 
 def accept_below_promise() -> tuple[Patch, ...]:
@@ -235,7 +237,7 @@
     Example:
         copied_votes()
     """
-    real = acceptor._taken
+    real = acceptor._import_cell
 
     def faulty(state: Any, got: Any) -> Any:
         after = real(state, got)
@@ -243,4 +245,4 @@
         cell = replace(after.cells[name], voted=True)
         return replace(after, cells=after.cells.set(name, cell))
 
-    return ((acceptor, "_taken", faulty),)
+    return ((acceptor, "_import_cell", faulty),)
