--- a/spokeroute/register/proposer/accepts.py
+++ b/spokeroute/register/proposer/accept_requests.py
@@ -16,11 +16,11 @@
 from spokeroute.transport.messages import Accept, AcceptPatch, Copy, ValuePatch
 
 
-def accept_asks(state: State, roster: Roster, current: Round, offer: Copy) -> tuple[Send, ...]:
+def accept_messages(state: State, roster: Roster, current: Round, offer: Copy) -> tuple[Send, ...]:
     """What each member is asked to accept.
 
     Example:
-        accept_asks(state, roster, current, offer)[0].message.copy == offer
+        accept_messages(state, roster, current, offer)[0].message.copy == offer
     """
     whole = Accept(roster.epoch, offer, current.value)
     patch = _patch(state, current, offer)
@@ -36,17 +36,17 @@
 
 
 def _patch(state: State, current: Round, offer: Copy) -> ValuePatch | None:
-    base = state.known.get(offer.name)
+    base = state.known_values.get(offer.name)
     if base is None or base.digest == offer.digest:
         return None
     return make_patch(base.digest, base.value, offer, current.value)
 
 
-def whole_accept(state: AcceptorState, ask: AcceptPatch) -> Accept | None:
+def expand_accept(state: AcceptorState, ask: AcceptPatch) -> Accept | None:
     """A patched ask with its value; None where this member has not got what it is a patch of.
 
     Example:
-        whole_accept(state, AcceptPatch(1, patch)) is None
+        expand_accept(state, AcceptPatch(1, patch)) is None
     """
     patch = ask.patch
     cell = state.cells.get(patch.copy.name, EMPTY)
--- a/spokeroute/register/proposer/known_values.py
+++ b/spokeroute/register/proposer/known_values.py
@@ -26,11 +26,11 @@
 KnownValues = Map[str, KnownValue]
 
 
-def learned(known: KnownValues, copy: Copy, value: bytes) -> KnownValues:
+def with_known_value(known: KnownValues, copy: Copy, value: bytes) -> KnownValues:
     """A round ended with a value.
 
     Example:
-        >>> learned(Map(), Copy("floor", 1, "d", 1, "m1"), b"table")["floor"].digest
+        >>> with_known_value(Map(), Copy("floor", 1, "d", 1, "m1"), b"table")["floor"].digest
         'd'
     """
     if copy.name not in SPREAD or not copy.digest:
@@ -38,22 +38,22 @@
     return known.set(copy.name, KnownValue(copy.digest, value))
 
 
-def digest_known(known: KnownValues, name: str) -> str:
+def known_digest(known: KnownValues, name: str) -> str:
     """The digest of the value that is known of a register; empty where none is.
 
     Example:
-        >>> digest_known(Map(), "floor")
+        >>> known_digest(Map(), "floor")
         ''
     """
     each = known.get(name)
     return each.digest if each is not None else ""
 
 
-def filled(known: KnownValues, promise: Promise) -> Promise | None:
+def with_known_bytes(known: KnownValues, promise: Promise) -> Promise | None:
     """A promise with its value; None where that was left out and is not the known one.
 
     Example:
-        filled(Map(), promise) is promise
+        with_known_bytes(Map(), promise) is promise
     """
     if promise.value or not promise.accepted.digest:
         return promise
--- a/spokeroute/register/proposer/rounds.py
+++ b/spokeroute/register/proposer/rounds.py
@@ -19,22 +19,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Op:
+class Operation:
     """An ask and how far it came."""
 
     ask: Ask
     deadline_ms: Ms
     offered: str = ""  # digest of a value of ours that members may have accepted
-    alone_after_ms: Ms = Ms(-1)  # from when it is given up without a majority in contact
+    fail_fast_after_ms: Ms = Ms(-1)  # from when it is given up without a majority in contact
 
 
 @dataclass(frozen=True, slots=True)
 class Round:
     """One register's open round."""
 
-    op: Op
+    op: Operation
     ballot: Ballot
-    ends_ms: Ms
+    retry_at_ms: Ms
     starts_ms: Ms
     attempt: int
     promises: Map[str, Promise] = field(default_factory=Map)
@@ -52,16 +52,16 @@
     seed: int
     roster: Roster | None = None
     rounds: Map[str, Round] = field(default_factory=Map)
-    queue: Map[str, tuple[Op, ...]] = field(default_factory=Map)
-    seen: Map[str, int] = field(default_factory=Map)
-    used: int = 0  # no counter up to here is drawn again, whatever the register
-    life: int = 0  # this process's own: answers to an earlier one are void
+    queue: Map[str, tuple[Operation, ...]] = field(default_factory=Map)
+    counters_seen: Map[str, int] = field(default_factory=Map)
+    counter_floor: int = 0  # no counter up to here is drawn again, whatever the register
+    incarnation: int = 0  # this process's own: answers to an earlier one are void
     contact_ms: Map[str, Ms] = field(default_factory=Map)  # when both ways were last known open
     hints: Map[str, Map[str, Copy]] = field(default_factory=Map)
-    round_ms: int = ROUND_MS  # how long a round may take: learned, as disks may be slow
-    heard: Map[str, tuple[int, Ms]] = field(default_factory=Map)  # which life, and when
-    draws: int = 0
-    known: KnownValues = field(default_factory=Map)
+    round_timeout_ms: int = ROUND_MS  # how long a round may take: learned, as disks may be slow
+    last_heard: Map[str, tuple[int, Ms]] = field(default_factory=Map)  # which life, and when
+    backoff_draws: int = 0
+    known_values: KnownValues = field(default_factory=Map)
 
 
 def start(me: MemberId, seed: int, roster: Roster | None, life: int) -> State:
@@ -71,7 +71,7 @@
     Example:
         start(MemberId("m1"), 7, None, 1).used == 0
     """
-    return State(me, seed, roster, used=(life - 1) * COUNTERS_PER_LIFE, life=life)
+    return State(me, seed, roster, counter_floor=(life - 1) * COUNTERS_PER_LIFE, incarnation=life)
 
 
 def in_contact(state: State, node: NodeId, now_ms: Ms) -> State:
@@ -84,7 +84,7 @@
     return state if node == state.me else replace(state, contact_ms=contact_ms.set(node, now_ms))
 
 
-def silent(state: State, now_ms: Ms) -> tuple[str, ...]:
+def members_without_contact(state: State, now_ms: Ms) -> tuple[str, ...]:
     """Members that this process has had no contact with lately.
 
     Example:
@@ -99,11 +99,14 @@
     )
 
 
-def alone(state: State, now_ms: Ms) -> bool:
+def lacks_majority(state: State, now_ms: Ms) -> bool:
     """Whether this process has contact with no majority of the roster, itself counted.
 
     Example:
         alone(start(MemberId("m1"), 7, None, 1), Ms(0))
     """
     roster = state.roster
-    return roster is None or len(roster.ids) - len(silent(state, now_ms)) < roster.majority
+    return (
+        roster is None
+        or len(roster.ids) - len(members_without_contact(state, now_ms)) < roster.majority
+    )
--- a/tests/test_accept_patches.py
+++ b/tests/test_accept_patches.py
@@ -17,8 +17,8 @@
 from spokeroute.register.changes import Ask, Swap
 from spokeroute.register.patches import make_patch
 from spokeroute.register.proposer import proposer
-from spokeroute.register.proposer.accepts import whole_accept
-from spokeroute.register.proposer.known_values import learned
+from spokeroute.register.proposer.accept_requests import expand_accept
+from spokeroute.register.proposer.known_values import with_known_value
 from spokeroute.transport.frames import decode
 from spokeroute.transport.messages import Accept, AcceptPatch, Copy, Promise
 from tests.sim.cluster import Sim
@@ -35,7 +35,7 @@
     """What members are asked by a proposer that knows the old table, after these promises."""
     state = proposer.start(ME, 7, ROSTER, 1)
     copy = Copy(FLOOR, 4, digest_of(OLD), 4, "m1")
-    state = replace(state, known=learned(state.known, copy, OLD))
+    state = replace(state, known_values=with_known_value(state.known_values, copy, OLD))
     swap = Ask("op", FLOOR, Swap(4, NEW), "placement")
     state, effects = proposer.step(state, swap, Ms(10))
     prepare: Any = next(e.message for e in effects if isinstance(e, Send))
@@ -92,7 +92,7 @@
 def test_a_patch_that_makes_another_value_is_not_accepted() -> None:
     ask = patch_ask()
     wrong = replace(ask, patch=replace(ask.patch, copy=replace(ask.patch.copy, digest="0" * 64)))
-    assert whole_accept(member(OLD), wrong) is None
+    assert expand_accept(member(OLD), wrong) is None
 
 
 @pytest.fixture
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -283,4 +283,4 @@
     node.start()
     told = sim.apply(configuration(name="alone"))
     sim.run(1_500)
-    assert told.status == 503 and told.done_ms - told.at_ms > proposer.MEETING_MS
+    assert told.status == 503 and told.done_ms - told.at_ms > proposer.STARTUP_CONTACT_MS
--- a/tests/test_known_values.py
+++ b/tests/test_known_values.py
@@ -8,7 +8,11 @@
 from immutables import Map
 
 from spokeroute.common.ids import CONFIGURATION, Address, MemberId
-from spokeroute.register.proposer.known_values import digest_known, filled, learned
+from spokeroute.register.proposer.known_values import (
+    known_digest,
+    with_known_bytes,
+    with_known_value,
+)
 from spokeroute.transport.frames import decode
 from spokeroute.transport.messages import Copy, Promise
 from tests.sim.changing import core_of
@@ -76,17 +80,17 @@
 
 def test_a_value_that_was_left_out_is_filled_in_only_by_its_digest() -> None:
     copy = Copy(CONFIGURATION, 3, "d3", 3, "m1")
-    known = learned(Map(), copy, b"three")
-    assert digest_known(known, CONFIGURATION) == "d3"
-    assert learned(known, Copy("claim/k", 1, "c", 1, "m1"), b"claim") == known
+    known = with_known_value(Map(), copy, b"three")
+    assert known_digest(known, CONFIGURATION) == "d3"
+    assert with_known_value(known, Copy("claim/k", 1, "c", 1, "m1"), b"claim") == known
 
     def promise(digest: str, value: bytes) -> Promise:
         accepted = Copy(CONFIGURATION, 3, digest, 3, "m1")
         return Promise(1, CONFIGURATION, 9, "m2", True, 9, accepted, value, -1)
 
-    left_out = filled(known, promise("d3", b""))
+    left_out = with_known_bytes(known, promise("d3", b""))
     assert left_out is not None and left_out.value == b"three"
-    assert filled(known, promise("other", b"")) is None
-    assert filled(Map(), promise("d3", b"")) is None
+    assert with_known_bytes(known, promise("other", b"")) is None
+    assert with_known_bytes(Map(), promise("d3", b"")) is None
     whole, nothing = promise("other", b"other"), promise("", b"")
-    assert filled(known, whole) is whole and filled(known, nothing) is nothing
+    assert with_known_bytes(known, whole) is whole and with_known_bytes(known, nothing) is nothing
--- a/tests/test_old_lives.py
+++ b/tests/test_old_lives.py
@@ -129,8 +129,8 @@
 def test_late_promises_that_count_are_found(doubled: Sim, monkeypatch: pytest.MonkeyPatch) -> None:
     """The planted fault: a promise of any ballot counts for the round that is open. (Promises bring
     their values here: a late one without its value can't be filled in, and would do no harm.)"""
-    monkeypatch.setattr(proposer, "digest_known", lambda known, name: "")
-    honest = proposer._promised
+    monkeypatch.setattr(proposer, "known_digest", lambda known, name: "")
+    honest = proposer._on_promise
 
     def credulous(state, node, got, now_ms):  # type: ignore[no-untyped-def]
         current = state.rounds.get(got.name)
@@ -139,7 +139,7 @@
             got = replace(got, counter=ballot.counter, member=ballot.member)
         return honest(state, node, got, now_ms)
 
-    monkeypatch.setattr(proposer, "_promised", credulous)
+    monkeypatch.setattr(proposer, "_on_promise", credulous)
     with pytest.raises(AssertionError):
         eventful(doubled)
         assert readback.acked_reads_back(doubled.log()) == []
@@ -168,7 +168,7 @@
 
 def test_a_promise_to_an_earlier_life_makes_no_read() -> None:
     """The same ballot, drawn again by a later life: the earlier one's promise names old values."""
-    state = proposer.State(MEMBERS[0], 1, ROSTER, life=2)
+    state = proposer.State(MEMBERS[0], 1, ROSTER, incarnation=2)
     state, effects = proposer.step(state, Ask("op", "configuration", Read(), "operator"), Ms(0))
     ask = prepare_of(effects)
     for member in MEMBERS[1:]:
@@ -182,7 +182,7 @@
 
 
 def test_an_acceptance_to_an_earlier_life_acknowledges_nothing() -> None:
-    state = proposer.State(MEMBERS[0], 1, ROSTER, life=2)
+    state = proposer.State(MEMBERS[0], 1, ROSTER, incarnation=2)
     state, effects = proposer.step(state, Ask("op", "floor", Swap(0, b"x"), "placement"), Ms(0))
     ask = prepare_of(effects)
     for member in MEMBERS[:2]:
--- a/tools/model/actions.py
+++ b/tools/model/actions.py
@@ -327,7 +327,9 @@
 def _due_ms(member: Member) -> Ms:
     """When the proposer does something next: a round that waited begins, or one is given up."""
     due = [
-        each.starts_ms if each.starts_ms > member.now_ms else min(each.ends_ms, each.op.deadline_ms)
+        each.starts_ms
+        if each.starts_ms > member.now_ms
+        else min(each.retry_at_ms, each.op.deadline_ms)
         for each in member.proposer.rounds.values()
     ]
     return min(due)
--- a/tools/model/patches.py
+++ b/tools/model/patches.py
@@ -212,7 +212,7 @@
 
     def faulty(state: Any, name: str, now_ms: Any) -> Any:
         after, effects = real(state, name, now_ms)
-        return replace(after, used=0), effects
+        return replace(after, counter_floor=0), effects
 
     return ((proposer, "_next_op", faulty),)
 
