--- a/spokeroute/register/acceptor/outage.py
+++ b/spokeroute/register/acceptor/outage.py
@@ -15,7 +15,7 @@
 from spokeroute.register.acceptor.outage_state import Outage, next_pause_ms
 from spokeroute.register.acceptor.state import State
 from spokeroute.register.cells import EMPTY, Cell
-from spokeroute.register.disk.store import (
+from spokeroute.register.disk.jobs import (
     DiskWrite,
     ReopenFailed,
     ReopenStore,
--- a/spokeroute/register/acceptor/state.py
+++ b/spokeroute/register/acceptor/state.py
@@ -12,7 +12,7 @@
 from spokeroute.register.acceptor.outage_state import FIRST_PAUSE_MS, Outage
 from spokeroute.register.acceptor.recent_values import RecentValues
 from spokeroute.register.cells import Cell, Roster
-from spokeroute.register.disk.store import DiskWrite
+from spokeroute.register.disk.jobs import DiskWrite
 
 
 @dataclass(frozen=True, slots=True)
--- a/spokeroute/register/disk/format.py
+++ b/spokeroute/register/disk/format.py
@@ -9,7 +9,7 @@
 from spokeroute.register.cells import Cell, digest_of
 from spokeroute.register.disk.errors import DiskError
 
-VOTED_FROM = 7  # a cell's head has so many fields since it says whether it was voted
+FIELDS_WITH_VOTED = 7  # a cell's head has so many fields since it says whether it was voted
 
 
 def pack_cell(cell: Cell) -> bytes:
@@ -40,40 +40,41 @@
         value = bytes(data[8 + size :])
         cell = Cell(
             Ballot(head[0], MemberId(head[1])), Ballot(head[2], MemberId(head[3])),
-            head[4], head[5], value, len(head) < VOTED_FROM or bool(head[VOTED_FROM - 1]),
+            head[4], head[5], value,
+            len(head) < FIELDS_WITH_VOTED or bool(head[FIELDS_WITH_VOTED - 1]),
         )  # fmt: skip
     except (ValueError, LookupError, TypeError) as fault:
-        raise damaged(f"register {name!r}") from fault
+        raise corruption_error(f"register {name!r}") from fault
     if cell.digest and digest_of(value) != cell.digest:
-        raise damaged(f"register {name!r}")
+        raise corruption_error(f"register {name!r}")
     return cell
 
 
-def sealed(raw: bytes) -> bytes:
+def add_checksum(raw: bytes) -> bytes:
     """Bytes under a checksum.
 
     Example:
-        opened(sealed(b"x")) == b"x"
+        verify_checksum(add_checksum(b"x")) == b"x"
     """
     return zlib.crc32(raw).to_bytes(4, "big") + raw
 
 
-def opened(data: bytes) -> bytes:
+def verify_checksum(data: bytes) -> bytes:
     """What was sealed, if it still is what was written.
 
     Example:
-        opened(sealed(b"x")) == b"x"
+        verify_checksum(add_checksum(b"x")) == b"x"
     """
     if zlib.crc32(data[4:]).to_bytes(4, "big") != data[:4]:
         raise ValueError("it is not what was written")
     return data[4:]
 
 
-def damaged(what: str) -> DiskError:
+def corruption_error(what: str) -> DiskError:
     """The error of a store that is not what was written.
 
     Example:
-        raise damaged("a page")
+        raise corruption_error("a page")
     """
     return DiskError(
         f"{what} on this disk is damaged: move the data folder away and start blank; the member "
--- a/spokeroute/register/disk/loaded.py
+++ b/spokeroute/register/disk/loaded.py
@@ -10,7 +10,7 @@
 from spokeroute.common.ids import MemberId
 from spokeroute.register.cells import Cell, Roster
 
-BORN = b"born/"  # claims' births stand beside the other facts on this disk
+FIRST_SEEN_PREFIX = b"born/"  # claims' births stand beside the other facts on this disk
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,13 +22,13 @@
     roster: Roster | None
     votes: bool
     cells: Map[str, Cell]
-    starts: int = 1
+    start_count: int = 1
     first_seen_ms: Map[str, int] = Map()  # claims: at which running time of this disk they came
     total_uptime_ms: int = 0  # how long this disk's processes ran, all lives together
     copy_progress: Map[str, str] = Map()  # while it joins: old members, and up to which name
 
 
-def births(txn: Any, meta: Any) -> Map[str, int]:
+def read_first_seen(txn: Any, meta: Any) -> Map[str, int]:
     """At which running time of the disk its claims came.
 
     Example:
@@ -36,8 +36,8 @@
     """
     found: dict[str, int] = {}
     cursor = txn.cursor(db=meta)
-    there = cursor.set_range(BORN)
-    while there and bytes(cursor.key()).startswith(BORN):
-        found[bytes(cursor.key())[len(BORN) :].decode()] = int(bytes(cursor.value()))
+    there = cursor.set_range(FIRST_SEEN_PREFIX)
+    while there and bytes(cursor.key()).startswith(FIRST_SEEN_PREFIX):
+        found[bytes(cursor.key())[len(FIRST_SEEN_PREFIX) :].decode()] = int(bytes(cursor.value()))
         there = cursor.next()
     return Map(found)
--- a/spokeroute/register/membership/membership.py
+++ b/spokeroute/register/membership/membership.py
@@ -16,7 +16,7 @@
 from spokeroute.register.acceptor.events import Adopt, Adopted, ImportCells
 from spokeroute.register.cells import Roster, pack_roster, read_roster, unpack_roster
 from spokeroute.register.changes import Ask, Outcome, RosterIs, Settled, Swap
-from spokeroute.register.disk.store import StoreWritable
+from spokeroute.register.disk.jobs import StoreWritable
 from spokeroute.register.membership.founding import founded, outlived
 from spokeroute.register.membership.heartbeats import everyone, heartbeats, status_of
 from spokeroute.register.membership.leave import Leave, parting
--- a/spokeroute/registry/disk_edge.py
+++ b/spokeroute/registry/disk_edge.py
@@ -12,7 +12,7 @@
 
 from spokeroute.ledger.writer import KEEP_ENTRIES, LedgerFailed, LedgerWrite, LedgerWritten
 from spokeroute.register.disk.disk import Disk, DiskError, DiskRefusedError, Loaded
-from spokeroute.register.disk.store import (
+from spokeroute.register.disk.jobs import (
     DiskDone,
     DiskFailed,
     DiskWrite,
--- a/spokeroute/registry_daemon.py
+++ b/spokeroute/registry_daemon.py
@@ -22,7 +22,7 @@
 from spokeroute.ledger.writer import LedgerWrite
 from spokeroute.nodes import Start
 from spokeroute.register.disk.disk import DiskError
-from spokeroute.register.disk.store import DiskWrite, ReopenStore
+from spokeroute.register.disk.jobs import DiskWrite, ReopenStore
 from spokeroute.registry.api import Api
 from spokeroute.registry.disk_edge import DiskEdge, opened
 from spokeroute.registry.platform_edge import HttpPlatform, PlatformEdge
--- a/spokeroute/registry_node.py
+++ b/spokeroute/registry_node.py
@@ -37,7 +37,7 @@
         process = build_registry(me, world, Start(seeds, 1, found=True), disk.load())
     """
     # Counted by its disk, so that of two lives of this member the later one is known.
-    me = replace(me, incarnation=Incarnation(loaded.starts))
+    me = replace(me, incarnation=Incarnation(loaded.start_count))
     process = Process(me, world)
     member = MemberId(loaded.member)
     members = tuple(a for _, a in loaded.roster.members) if loaded.roster else ()
@@ -85,7 +85,7 @@
     )
     process.add(
         "proposer",
-        proposer.start(member, start.seed, loaded.roster, loaded.starts),
+        proposer.start(member, start.seed, loaded.roster, loaded.start_count),
         proposer.step,
         takes=(m.Promise, m.Accepted, m.Finish, m.Heartbeat),
     )
--- a/tests/sim/disk.py
+++ b/tests/sim/disk.py
@@ -11,7 +11,7 @@
 from spokeroute.common.ids import MemberId
 from spokeroute.ledger.writer import LedgerFailed, LedgerWrite, LedgerWritten
 from spokeroute.register.cells import Cell, Roster
-from spokeroute.register.disk.store import (
+from spokeroute.register.disk.jobs import (
     DiskDone,
     DiskFailed,
     DiskWrite,
--- a/tests/sim/world.py
+++ b/tests/sim/world.py
@@ -23,7 +23,7 @@
 from spokeroute.ledger.writer import LedgerWrite
 from spokeroute.nodes import Start, build_exchange
 from spokeroute.register.disk.disk import Loaded
-from spokeroute.register.disk.store import (
+from spokeroute.register.disk.jobs import (
     DiskWrite,
     ReopenStore,
 )
--- a/tests/test_bad_store.py
+++ b/tests/test_bad_store.py
@@ -14,7 +14,7 @@
 from spokeroute.common.ids import Address, Ballot, Epoch, MemberId
 from spokeroute.register.cells import Cell, Roster, digest_of, pack_roster
 from spokeroute.register.disk.disk import Disk, DiskError, Loaded
-from spokeroute.register.disk.store import DiskWrite
+from spokeroute.register.disk.jobs import DiskWrite
 from spokeroute.transport.frames import Envelope, encode
 from spokeroute.transport.messages import (
     Accept,
@@ -64,7 +64,7 @@
     disk.close()
     meta_put(tmp_path, b"format", b"2")
     disk = Disk(tmp_path, 16)
-    assert disk.load().starts == loaded.starts + 1, "the refused opening wrote nothing"
+    assert disk.load().start_count == loaded.start_count + 1, "the refused opening wrote nothing"
     disk.close()
 
 
--- a/tests/test_catch_up_links.py
+++ b/tests/test_catch_up_links.py
@@ -21,7 +21,7 @@
 from spokeroute.register.cells import Cell, Roster, digest_of
 from spokeroute.register.changes import Ask, Read, Swap
 from spokeroute.register.disk.disk import Disk
-from spokeroute.register.disk.store import DiskDone, DiskWrite
+from spokeroute.register.disk.jobs import DiskDone, DiskWrite
 from spokeroute.transport.frames import MAX_FRAME_BYTES, Envelope, encode
 from spokeroute.transport.messages import Accept, Copy, HandOver, Heartbeat
 from tests.sim.changing import (
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -18,7 +18,7 @@
 from spokeroute.register.acceptor.acceptor import Adopt, Adopted, ImportCells
 from spokeroute.register.anti_entropy.cell_index import CatchUp
 from spokeroute.register.cells import Cell, Roster, digest_of
-from spokeroute.register.disk.store import (
+from spokeroute.register.disk.jobs import (
     DiskDone,
     DiskFailed,
     DiskWrite,
--- a/tests/test_store_full.py
+++ b/tests/test_store_full.py
@@ -18,7 +18,7 @@
 from spokeroute.ledger.writer import LedgerFailed, LedgerWrite, LedgerWritten
 from spokeroute.register.cells import Cell, Roster, digest_of
 from spokeroute.register.disk.disk import Disk, DiskBusyError, DiskError
-from spokeroute.register.disk.store import (
+from spokeroute.register.disk.jobs import (
     DiskDone,
     DiskFailed,
     DiskWrite,
@@ -106,7 +106,7 @@
     members = set()
     for starts in (1, 2):
         disk, loaded = opened(tmp_path / "store", 16, pauses.append)
-        assert loaded.starts == starts
+        assert loaded.start_count == starts
         members.add(loaded.member)
         disk.close()
     assert len(pauses) == 4 and len(members) == 1
@@ -142,7 +142,7 @@
     again = Disk(disk.folder, 16)
     loaded = again.load()
     assert loaded.cells["configuration"].version == 3
-    assert (loaded.member, loaded.starts) == (member, 2)
+    assert (loaded.member, loaded.start_count) == (member, 2)
     again.close()
 
 
@@ -238,7 +238,7 @@
 
     monkeypatch.setattr("spokeroute.register.disk.disk.READER_WAIT_S", 0.01)
     api(environ, answered)
-    with disk.opening:
+    with disk.environment_lock:
         body = b"".join(api(environ, answered))
     assert b"ask another registry" in body
     assert [status[:3] for status in statuses] == ["200", "503"]
--- a/tools/model/actions.py
+++ b/tools/model/actions.py
@@ -18,7 +18,7 @@
 from spokeroute.common.ids import Address, MemberId, Ms
 from spokeroute.register.cells import unpack_roster
 from spokeroute.register.changes import Ask
-from spokeroute.register.disk.store import DiskWrite
+from spokeroute.register.disk.jobs import DiskWrite
 from spokeroute.register.membership.leave import Leave, Standing
 from spokeroute.transport import messages as m
 from tools.model.disk import Disk
--- a/tools/model/world.py
+++ b/tools/model/world.py
@@ -18,7 +18,7 @@
 from spokeroute.common.ids import Address, Incarnation, MemberId, Ms, NodeId
 from spokeroute.register.acceptor import acceptor
 from spokeroute.register.acceptor.acceptor import DiskDone, DiskFailed, DiskWrite
-from spokeroute.register.disk.store import ReopenFailed, ReopenStore, StoreReopened
+from spokeroute.register.disk.jobs import ReopenFailed, ReopenStore, StoreReopened
 from spokeroute.register.membership import handover, membership
 from spokeroute.register.proposer import proposer
 from spokeroute.register.proposer.proposer import Settled
--- a/tools/store_size.py
+++ b/tools/store_size.py
@@ -39,7 +39,7 @@
 from spokeroute.register.cells import Cell, Roster, digest_of
 from spokeroute.register.claims import Claim, pack
 from spokeroute.register.disk.disk import Disk
-from spokeroute.register.disk.store import DiskWrite
+from spokeroute.register.disk.jobs import DiskWrite
 
 MB = 1024 * 1024
 ZONES = ("north", "centre", "south")
@@ -146,7 +146,7 @@
             pages = stat["leaf_pages"] + stat["overflow_pages"] + stat["branch_pages"]
             print(f"  {name}: {pages * stat['psize'] / MB:.2f} MB, {stat['entries']} entries")
     used = (disk.env.info()["last_pgno"] + 1) * disk.env.stat()["psize"] / MB
-    share = disk.ledger_bytes / MB
+    share = disk.max_ledger_bytes / MB
     print(
         f"{functions} functions, {instances} instances, {born} claims: {used:.1f} MB of the file; "
         f"configuration {sizes[CONFIGURATION] / MB:.3f} MB, table {sizes[FLOOR] / MB:.3f} MB; "
