--- a/spokeroute/figures.py
+++ b/spokeroute/figures.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-from spokeroute.ledger.ring import Ring
+from spokeroute.ledger.ring import RingLog
 from spokeroute.transport.net import Loop
 from spokeroute.transport.process import Process
 from spokeroute.transport.traffic import Traffic
@@ -70,7 +70,7 @@
         self,
         process: Process,
         loop: Loop,
-        ring: Ring,
+        ring: RingLog,
         compiled: WorkCounter,
         proof: Callable[[], str] = lambda: "",
     ) -> None:
--- a/spokeroute/registry/disk_edge.py
+++ b/spokeroute/registry/disk_executor.py
@@ -10,7 +10,7 @@
 import lmdb
 from absl import logging
 
-from spokeroute.ledger.writer import KEEP_ENTRIES, LedgerFailed, LedgerWrite, LedgerWritten
+from spokeroute.ledger.writer import RETAINED_ENTRIES, LedgerFailed, LedgerWrite, LedgerWritten
 from spokeroute.register.disk.disk import Disk, DiskError, DiskRefusedError, Loaded
 from spokeroute.register.disk.jobs import (
     DiskDone,
@@ -22,17 +22,17 @@
 )
 
 Report = Callable[[str, object], None]
-OPEN_AGAIN_S = 1.0
+OPEN_RETRY_S = 1.0
 
 
-def opened(
+def open_store(
     folder: Path, size_mb: int, pause: Callable[[float], None] = time.sleep
 ) -> tuple[Disk, Loaded]:
     """A member's store and what it holds; waited for while its disk takes no write, for a start
     is counted on it.
 
     Example:
-        disk, loaded = opened(Path("data"), 256)
+        disk, loaded = open_store(Path("data"), 256)
     """
     while True:
         try:
@@ -44,19 +44,19 @@
                 raise
         except DiskRefusedError as fault:
             logging.error("%s; this registry starts once it does", fault)
-            pause(OPEN_AGAIN_S)
+            pause(OPEN_RETRY_S)
 
 
 def _text(fault: Exception) -> str:
     return f"{type(fault).__name__}: {fault}"
 
 
-class DiskEdge:
+class DiskExecutor:
     """The disk's one thread: batches of cells, ledger entries between them, and the opening of
     the store anew after a write that failed. Reports come in the order of the jobs.
 
     Example:
-        edge = DiskEdge(disk, loaded.member, loop.report)
+        edge = DiskExecutor(disk, loaded.member, loop.report)
     """
 
     def __init__(self, disk: Disk, member: str, report: Report) -> None:
@@ -92,7 +92,7 @@
     def _ledger(self, actor: str, job: LedgerWrite) -> None:
         low, high = job.entries[0][0], job.entries[-1][0]
         try:
-            self.disk.append(job.entries, KEEP_ENTRIES)
+            self.disk.append(job.entries, RETAINED_ENTRIES)
         except lmdb.MapFullError as fault:
             # The environment is sound: only the ledger has no room left.
             logging.error("the ledger has no room (%s): raise disk_mb", fault)
--- a/spokeroute/registry/headers.py
+++ b/spokeroute/registry/headers.py
@@ -11,11 +11,11 @@
 from spokeroute.register.numbers import MAX_NUMBER
 
 _ORDER_ID = re.compile(r"[A-Za-z0-9._-]{1,64}")
-_DIGITS = 19  # of MAX_NUMBER
+_MAX_DIGITS = 19  # of MAX_NUMBER
 
 
-def _whole(raw: str) -> int | None:
-    return int(raw) if raw.isascii() and raw.isdigit() and len(raw) <= _DIGITS else None
+def _parse_integer(raw: str) -> int | None:
+    return int(raw) if raw.isascii() and raw.isdigit() and len(raw) <= _MAX_DIGITS else None
 
 
 def expected_version(environ: dict[str, Any]) -> int | Answer:
@@ -28,24 +28,24 @@
     raw = environ.get("HTTP_IF_MATCH", "").strip().strip('"')
     if not raw or raw == "*":
         return -1
-    version = _whole(raw)
+    version = _parse_integer(raw)
     if version is None:
         return problem(400, "bad If-Match", f"it was {raw[:40]!r}", "give a version")
     return version
 
 
-def asked_number(environ: dict[str, Any]) -> int | Answer:
+def number_parameter(environ: dict[str, Any]) -> int | Answer:
     """The number in the query; 0 where none is given.
 
     Example:
-        >>> asked_number({"QUERY_STRING": "number=70"})
+        >>> number_parameter({"QUERY_STRING": "number=70"})
         70
     """
     query = parse_qs(environ.get("QUERY_STRING", ""), keep_blank_values=True)
     if "number" not in query:
         return 0
     raw = query["number"]
-    number = _whole(raw[0]) if len(raw) == 1 else None
+    number = _parse_integer(raw[0]) if len(raw) == 1 else None
     if number is None or not 1 <= number <= MAX_NUMBER:
         return problem(
             400, "bad number", f"it was {', '.join(raw)[:40]!r}",
@@ -54,11 +54,11 @@
     return number
 
 
-def asked_id(environ: dict[str, Any]) -> str | Answer:
+def order_id_header(environ: dict[str, Any]) -> str | Answer:
     """The id that the sender drew for its order; empty where none is given.
 
     Example:
-        >>> asked_id({"HTTP_SPOKEROUTE_APPLY_ID": "a-1"})
+        >>> order_id_header({"HTTP_SPOKEROUTE_APPLY_ID": "a-1"})
         'a-1'
     """
     raw = str(environ.get("HTTP_SPOKEROUTE_APPLY_ID", ""))
--- a/spokeroute/registry_daemon.py
+++ b/spokeroute/registry_daemon.py
@@ -18,14 +18,14 @@
 from spokeroute.dispatch.placement.role import ProcessEnded
 from spokeroute.figures import Figures
 from spokeroute.http.wsgi import WsgiApp, serve
-from spokeroute.ledger.ring import Ring
+from spokeroute.ledger.ring import RingLog
 from spokeroute.ledger.writer import LedgerWrite
 from spokeroute.nodes import Start
 from spokeroute.register.disk.disk import DiskError
 from spokeroute.register.disk.jobs import DiskWrite, ReopenStore
 from spokeroute.registry.api import Api
-from spokeroute.registry.disk_edge import DiskEdge, opened
-from spokeroute.registry.platform_edge import HttpPlatform, PlatformEdge
+from spokeroute.registry.disk_executor import DiskExecutor, open_store
+from spokeroute.registry.platform_executor import HttpPlatform, PlatformExecutor
 from spokeroute.registry_node import ask_to_leave, build_registry, may_end
 from spokeroute.reread import Rereader
 from spokeroute.transport.outcome_messages import LINE_MARK as OUTCOMES_MARK
@@ -52,11 +52,11 @@
     """
     threading.stack_size(512 * 1024)
     try:
-        disk, loaded = opened(Path(settings.data), settings.disk_mb)
+        disk, loaded = open_store(Path(settings.data), settings.disk_mb)
     except DiskError as fault:
         raise SettingsError(str(fault)) from fault
     loop = listen(settings)
-    ring = Ring(settings.name, OUTCOMES_MARK if settings.log_outcomes else "")
+    ring = RingLog(settings.name, OUTCOMES_MARK if settings.log_outcomes else "")
     slab = Slab(64)
     world = RealWorld(loop, ring, slab)
     me = Me(
@@ -79,11 +79,11 @@
         ),
         loaded,
     )
-    edge = DiskEdge(disk, loaded.member, loop.report)
+    edge = DiskExecutor(disk, loaded.member, loop.report)
     world.jobs[DiskWrite] = edge.write
     world.jobs[ReopenStore] = edge.reopen
     world.jobs[LedgerWrite] = edge.ledger
-    platforms = PlatformEdge(platform or HttpPlatform(settings.platform), loop.report)
+    platforms = PlatformExecutor(platform or HttpPlatform(settings.platform), loop.report)
     world.jobs[ListPlatform] = platforms.list
     world.jobs[PlatformCall] = platforms.call
     api = Api(process, slab, disk, lambda event: loop.report("operator", event))
--- a/spokeroute/reread.py
+++ b/spokeroute/reread.py
@@ -8,7 +8,7 @@
 
 from spokeroute.common.ids import Address
 from spokeroute.common.settings import Settings, SettingsError
-from spokeroute.ledger.ring import Ring
+from spokeroute.ledger.ring import RingLog
 from spokeroute.transport.peers import SeedsNow
 from spokeroute.transport.process import Process
 
@@ -26,7 +26,7 @@
     def __init__(
         self,
         process: Process,
-        ring: Ring,
+        ring: RingLog,
         settings: Settings,
         read: Callable[[], Settings] | None,
     ) -> None:
--- a/tests/door.py
+++ b/tests/door.py
@@ -15,7 +15,7 @@
 from spokeroute.exchange.front import Front
 from spokeroute.exchange.types import CallerGone, CallIn
 from spokeroute.http.dialect import CallerDialect
-from spokeroute.ledger.ring import Ring
+from spokeroute.ledger.ring import RingLog
 from spokeroute.transport.net import Loop
 from spokeroute.transport.process import Me, Process
 
@@ -40,7 +40,7 @@
         trunk = Address("127.0.0.1:0")
         self.loop = Loop(trunk)
         box = Slots(slots)
-        world = RealWorld(self.loop, Ring("ex1"), box)
+        world = RealWorld(self.loop, RingLog("ex1"), box)
         me = Me(NodeId("ex1"), Incarnation(1), trunk, "exchange", "north")
         self.process = Process(me, world)
         self.process.add("calls", None, self.step)
--- a/tests/one_exchange.py
+++ b/tests/one_exchange.py
@@ -36,7 +36,7 @@
 from spokeroute.exchange.sender import Sender
 from spokeroute.exchange.types import Revoke, SendAttempt
 from spokeroute.http.dialect import Dialect
-from spokeroute.ledger.ring import Ring
+from spokeroute.ledger.ring import RingLog
 from spokeroute.nodes import Start, build_exchange
 from spokeroute.register.replica.replica import Fresh
 from spokeroute.transport.net import Loop
@@ -97,7 +97,7 @@
         self.instance = Instance(dialect)
         self.ended = False
         self.loop = Loop(Address("127.0.0.1:0"))
-        self.ring = Ring("ex1")
+        self.ring = RingLog("ex1")
         slots = Slots(32)
         world = RealWorld(self.loop, self.ring, slots)
         trunk = Address(f"127.0.0.1:{self.loop.server.getsockname()[1]}")
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -149,7 +149,7 @@
 
 @ONE
 def test_without_the_quick_answer_callers_wait(each: Cut, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(operator, "ALONE_MS", 0)
+    monkeypatch.setattr(operator, "NO_MAJORITY_WAIT_MS", 0)
     sever(each, "both")
     each.sim.run(KNOWN_MS)
     told = each.sim.show(0)
@@ -160,7 +160,7 @@
 class Edge(Api):
     """The operators' API without threads: what would go to the loop is answered here."""
 
-    def _loop(self, kind: object) -> Answer:
+    def _post_and_wait(self, kind: object) -> Answer:
         return Answer(503, (), b"asked the core")
 
 
--- a/tests/test_ledger_shares.py
+++ b/tests/test_ledger_shares.py
@@ -76,9 +76,9 @@
 def test_an_acknowledgement_that_covers_what_was_lost_is_found(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    real = writer._acked
+    real = writer._on_ack
     monkeypatch.setattr(
-        writer, "_acked", lambda state, node, low, high: real(state, node, "", high)
+        writer, "_on_ack", lambda state, node, low, high: real(state, node, "", high)
     )
     state, _, fifth = lost_share()
     assert state.acked[AWAY] == fifth
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -33,7 +33,7 @@
     number_of,
     stamped,
 )
-from spokeroute.registry.headers import asked_id, asked_number, expected_version
+from spokeroute.registry.headers import expected_version, number_parameter, order_id_header
 from tests.sim.acts import after
 from tests.sim.cluster import Sim
 from tests.test_adapter import adapter, document
@@ -287,20 +287,23 @@
     ],
 )  # fmt: skip
 def test_a_bad_number_in_the_query_is_refused(query: str) -> None:
-    got = asked_number({"QUERY_STRING": query})
+    got = number_parameter({"QUERY_STRING": query})
     assert isinstance(got, Answer) and got.status == 400 and b"remedy" in got.body
 
 
 def test_good_numbers_versions_and_ids_are_read() -> None:
-    assert asked_number({}) == 0 and asked_number({"QUERY_STRING": "number=7"}) == 7
-    assert asked_number({"QUERY_STRING": f"number={MAX_NUMBER}"}) == MAX_NUMBER
+    assert number_parameter({}) == 0 and number_parameter({"QUERY_STRING": "number=7"}) == 7
+    assert number_parameter({"QUERY_STRING": f"number={MAX_NUMBER}"}) == MAX_NUMBER
     assert expected_version({"HTTP_IF_MATCH": "*"}) == -1
     assert expected_version({"HTTP_IF_MATCH": '"7"'}) == 7
     for bad in ('"x"', "-1", "7.5", "9" * 40):
         assert isinstance(expected_version({"HTTP_IF_MATCH": bad}), Answer)
-    assert asked_id({}) == "" and asked_id({"HTTP_SPOKEROUTE_APPLY_ID": "a.B-1_"}) == "a.B-1_"
+    assert (
+        order_id_header({}) == ""
+        and order_id_header({"HTTP_SPOKEROUTE_APPLY_ID": "a.B-1_"}) == "a.B-1_"
+    )
     for bad in ("a b", "x" * 65, "é", "a\n"):
-        assert isinstance(asked_id({"HTTP_SPOKEROUTE_APPLY_ID": bad}), Answer)
+        assert isinstance(order_id_header({"HTTP_SPOKEROUTE_APPLY_ID": bad}), Answer)
 
 
 @pytest.fixture
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -255,9 +255,9 @@
     state = ledger.State(NodeId(ME), "m0.1", (OTHER,))
     state, _ = ledger.step(state, LedgerFailed("k1", "k2", OTHER), Ms(2))
     given: list[object] = []
-    for number in range(ledger.MOST_WITHHELD + 1):
+    for number in range(ledger.MAX_WITHHELD_ACKS + 1):
         key = f"k{number + 100}"
         state, effects = ledger.step(state, LedgerWritten(key, key, OTHER), Ms(3))
         given += sent(effects)
-    last = f"k{ledger.MOST_WITHHELD + 100}"
+    last = f"k{ledger.MAX_WITHHELD_ACKS + 100}"
     assert given == [LedgerAck(last, last)]
--- a/tests/test_platform_edge.py
+++ b/tests/test_platform_executor.py
@@ -17,7 +17,7 @@
     PlatformListed,
 )
 from spokeroute.exchange.connect import Connect, ConnectDone, Connector, connect
-from spokeroute.registry.platform_edge import HttpPlatform, PlatformEdge
+from spokeroute.registry.platform_executor import HttpPlatform, PlatformExecutor
 from tests.test_edge import Scripted
 
 
@@ -38,11 +38,11 @@
 
 def reported(client: Any, ask: object) -> Any:
     got: queue.Queue[object] = queue.Queue()
-    edge = PlatformEdge(client, lambda actor, event: got.put(event))
+    executor = PlatformExecutor(client, lambda actor, event: got.put(event))
     if isinstance(ask, PlatformCall):
-        edge.call("placement", ask)
+        executor.call("placement", ask)
     else:
-        edge.list("placement", ListPlatform())
+        executor.list("placement", ListPlatform())
     return got.get(timeout=10)
 
 
--- a/tests/test_reread.py
+++ b/tests/test_reread.py
@@ -15,7 +15,7 @@
 from spokeroute.common.effects import SendAddress, Tick
 from spokeroute.common.ids import Address, Ms, NodeId
 from spokeroute.common.settings import Settings, SettingsError
-from spokeroute.ledger.ring import Ring
+from spokeroute.ledger.ring import RingLog
 from spokeroute.transport import peers
 from spokeroute.transport.process import Me
 from tests.sim.cluster import Sim
@@ -37,7 +37,7 @@
             raise said[-1]
         return said[-1]
 
-    rereader = reread.Rereader(node.process, Ring("ex1"), OLD, read)
+    rereader = reread.Rereader(node.process, RingLog("ex1"), OLD, read)
     rereader.look()
     said.append(replace(OLD, seeds=("10.0.0.7:1",)))
     rereader.look()  # not yet: it just did
--- a/tests/test_store_full.py
+++ b/tests/test_store_full.py
@@ -27,7 +27,7 @@
     StoreReopened,
 )
 from spokeroute.registry.api import Api
-from spokeroute.registry.disk_edge import DiskEdge, opened
+from spokeroute.registry.disk_executor import DiskExecutor, open_store
 from tests.sim.cluster import Sim
 
 SMALL_MB = 1
@@ -105,7 +105,7 @@
     pauses: list[float] = []
     members = set()
     for starts in (1, 2):
-        disk, loaded = opened(tmp_path / "store", 16, pauses.append)
+        disk, loaded = open_store(tmp_path / "store", 16, pauses.append)
         assert loaded.start_count == starts
         members.add(loaded.member)
         disk.close()
@@ -171,18 +171,18 @@
     """A ledger write that broke the environment has the registers' store opened anew too."""
     disk, member = store
     reports: list[tuple[str, object]] = []
-    edge = DiskEdge(disk, member, lambda actor, event: reports.append((actor, event)))
+    executor = DiskExecutor(disk, member, lambda actor, event: reports.append((actor, event)))
     entries = (("k1", "{}"), ("k2", "{}"))
-    edge.write("acceptor", batch(1))
-    edge.pool.submit(lambda: setattr(disk, "env", Refusing(disk.env, False)))
-    edge.ledger("ledger", LedgerWrite(entries, ME))
-    edge.write("acceptor", batch(2))
-    edge.reopen("acceptor", ReopenStore(100))
-    edge.ledger("ledger", LedgerWrite(entries, ME))
-    edge.write("acceptor", batch(3))
-    edge.pool.submit(lambda: (disk.folder / "data.mdb").unlink())
-    edge.reopen("acceptor", ReopenStore(0))
-    edge.close()
+    executor.write("acceptor", batch(1))
+    executor.pool.submit(lambda: setattr(disk, "env", Refusing(disk.env, False)))
+    executor.ledger("ledger", LedgerWrite(entries, ME))
+    executor.write("acceptor", batch(2))
+    executor.reopen("acceptor", ReopenStore(100))
+    executor.ledger("ledger", LedgerWrite(entries, ME))
+    executor.write("acceptor", batch(3))
+    executor.pool.submit(lambda: (disk.folder / "data.mdb").unlink())
+    executor.reopen("acceptor", ReopenStore(0))
+    executor.close()
     kinds = [(actor, type(event)) for actor, event in reports]
     assert kinds == [
         ("acceptor", DiskDone), ("ledger", LedgerFailed), ("acceptor", DiskFailed),
