--- a/spokeroute/register/acceptor/__init__.py
+++ b/spokeroute/register/acceptor/__init__.py
@@ -1,1 +1,1 @@
-"""The acceptor: one member's promises and acceptances, and what it does while its store is away."""
+"""The Paxos acceptor of one member, including its read-only mode while the store is unavailable."""
--- a/spokeroute/register/acceptor/claim_ages.py
+++ b/spokeroute/register/acceptor/claim_ages.py
@@ -1,7 +1,7 @@
-"""How old claims are, by the running time of the disk that holds them.
+"""Ages of claims, measured in cumulative uptime of the member that stores them.
 
-A member drops a claim that it has had for longer than any repeat may come. Its age is counted
-over all lives of its processes and kept on the disk, so restarts don't make claims young again.
+A member drops a claim once it has stored it for longer than any retry of the call can take. The
+age is persisted and counted across restarts, so that a restart does not reset it.
 """
 
 from __future__ import annotations
@@ -17,17 +17,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimAges:
-    """How long this disk's processes ran by now, and which births it has not with_new yet: they are
-    saved with the next write."""
+    """Cumulative uptime of this disk's processes, and first-seen times not yet written to disk."""
 
-    loaded: Map[str, int] = field(default_factory=Map)  # births, by the disk's running time
-    previous_uptime_ms: int = 0  # how long the disk's earlier processes ran
-    uptime_origin_ms: Ms = Ms(0)  # when the disk's running time began, by this process's clock
+    loaded: Map[str, int] = field(default_factory=Map)  # first-seen times, in cumulative uptime
+    previous_uptime_ms: int = 0  # uptime of this disk's earlier processes
+    uptime_origin_ms: Ms = Ms(0)  # zero of the cumulative uptime, on this process's clock
     now_ms: Ms = Ms(-1)
     unsaved: tuple[tuple[str, int], ...] = ()
 
     def at(self, now_ms: Ms) -> ClaimAges:
-        """The ages at a moment; the first one ties the disk's running time to this clock.
+        """Advance to a time; the first call maps cumulative uptime to this process's clock.
 
         Example:
             >>> ClaimAges(previous_uptime_ms=500).at(Ms(2_000)).uptime_origin_ms
@@ -40,7 +39,7 @@
 
     @property
     def total_uptime_ms(self) -> int:
-        """How long this disk's processes ran, all lives together.
+        """Uptime of this disk's processes, summed over restarts.
 
         Example:
             >>> ClaimAges(previous_uptime_ms=500).at(Ms(2_000)).at(Ms(2_030)).total_uptime_ms
@@ -49,7 +48,7 @@
         return self.now_ms - self.uptime_origin_ms if self.now_ms >= 0 else self.previous_uptime_ms
 
     def first_seen_ms(self) -> Map[str, Ms]:
-        """When the claims that were loaded came here, by this process's clock.
+        """First-seen times of the loaded claims, on this process's clock.
 
         Example:
             >>> ClaimAges(Map({"claim/k": 100}), 500).at(Ms(2_000)).births()["claim/k"]
@@ -58,7 +57,7 @@
         return Map({name: Ms(self.uptime_origin_ms + at_ms) for name, at_ms in self.loaded.items()})
 
     def with_new(self, before: Mapping[str, Ms], after: Mapping[str, Ms]) -> ClaimAges:
-        """With the births of claims that came since, to be saved with the next write.
+        """Add the first-seen times of new claims, to be saved with the next write.
 
         Example:
             >>> ages = ClaimAges(previous_uptime_ms=500).at(Ms(2_000))
@@ -70,7 +69,7 @@
         return replace(self, unsaved=(*self.unsaved, *first_seen_ms))
 
     def with_unsaved(self, first_seen_ms: tuple[tuple[str, int], ...]) -> ClaimAges:
-        """With the births of a write that failed, to be saved with another.
+        """Put back the first-seen times of a failed write, to be saved with the next one.
 
         Example:
             >>> ClaimAges().again((("claim/k", 5),)).unsaved
--- a/spokeroute/register/acceptor/copy_page.py
+++ b/spokeroute/register/acceptor/copy_page.py
@@ -1,4 +1,4 @@
-"""The pages in which a joining member copies all cells of another."""
+"""Pages in which a joining member copies all cells of another member."""
 
 from __future__ import annotations
 
@@ -9,14 +9,16 @@
 from spokeroute.register.cells import Cell, ballot_of
 from spokeroute.transport.messages import CopyCell, CopyPart
 
-COPY_PAGE_BYTES = 32 * 1024  # 131 ms of a link of 2 Mbit/s: heartbeats get past
-COPY_CELL_BYTES = 200  # what a cell takes besides its name and value
+COPY_PAGE_BYTES = 32 * 1024  # 131 ms on a 2 Mbit/s link, so heartbeats are not delayed
+COPY_CELL_BYTES = 200  # size of a cell apart from its name and value
 COPY_PAGE_CELLS = 500
 
 
 def copy_page(cells: Mapping[str, Cell], epoch: int, after: str) -> CopyPart:
-    """The cells after a name, as many as a page has room for; at least one, which alone may be
-    larger than a page, as it was in the frame that brought it.
+    """The cells after a name, as many as fit on a page.
+
+    A page has at least one cell, which may exceed the page size on its own: it fitted the frame
+    in which it arrived.
 
     Example:
         >>> copy_page({}, 1, "").last
@@ -37,9 +39,10 @@
 
 
 def merge_cell(cell: Cell, got: CopyCell) -> Cell:
-    """A joining member's cell with another's: the higher promise, and the later accept. Where some
-    member promised a later ballot, the value may have lost to one that was not copied: it is taken
-    up, and counts as no vote.
+    """Merge another member's cell into a joining member's: the higher promise, the later accept.
+
+    Where some member promised a later ballot, the value may have lost to one that was not copied.
+    It is stored, but does not count as a vote.
 
     Example:
         >>> merge_cell(Cell(), CopyCell(3, "a", Cell().copy("x"), b"")).promised.counter
--- a/spokeroute/register/acceptor/events.py
+++ b/spokeroute/register/acceptor/events.py
@@ -1,4 +1,4 @@
-"""What the acceptor and its neighbours of one process tell each other."""
+"""Events between the acceptor and other actors of the same process."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Adopt:
-    """From the membership: a chosen roster, and whether this member votes under it."""
+    """From membership: a chosen roster, and whether this member votes under it."""
 
     roster: Roster
     votes: bool
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Adopted:
-    """To the membership: the roster is on disk."""
+    """To membership: the roster has been synced."""
 
     roster: Roster
     votes: bool
@@ -26,21 +26,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ImportCells:
-    """From the membership: cells copied from an old member while joining."""
+    """From membership: cells that a joining member copied from a member of the old roster."""
 
     cells: tuple[CopyCell, ...]
-    reached: tuple[tuple[str, str], ...] = ()  # an old member, and up to where it was copied
+    reached: tuple[tuple[str, str], ...] = ()  # old member, last register name copied from it
 
 
 @dataclass(frozen=True, slots=True)
 class AbsentInstances:
-    """From placement: instances on the floor that are gone or going by the newest listing."""
+    """From placement: instances in the placement table that the newest platform listing shows as
+    gone or stopping."""
 
     instances: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class CellAccepted:
-    """To the role: this member accepted a value of its register, chosen or not."""
+    """To role: this member accepted a value of the placement register, chosen or not."""
 
     copy: Copy
--- a/spokeroute/register/acceptor/expiry.py
+++ b/spokeroute/register/acceptor/expiry.py
@@ -1,4 +1,4 @@
-"""Which registers a member lets go: claims by their age, numbers by how many came after."""
+"""Expiry of registers: claims by age, configuration numbers by how many newer ones exist."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 def expire(
     names: Iterable[str], born: Map[str, Ms], in_force: int, now_ms: Ms
 ) -> tuple[Map[str, Ms], tuple[str, ...]]:
-    """When this process first met each register that ages, and those that go now.
+    """Return when each expiring register was first seen, and the names that expire now.
 
-    ``in_force`` is an operator's number that is proved to have been in force.
+    ``in_force`` is a configuration number that is proved to have been in force.
 
     Example:
         >>> age(["claim/k1"], Map({"claim/k1": Ms(0)}), 0, Ms(CLAIM_RETENTION_MS + 1))[1]
--- a/spokeroute/register/acceptor/outage.py
+++ b/spokeroute/register/acceptor/outage.py
@@ -1,8 +1,8 @@
-"""A store that takes no writes: what a member does until its store is open again.
+"""Read-only mode of a member whose store has failed a write.
 
-A failed write says nothing of what is on the disk: the batch may be there wholly, or not at all.
-So the member goes back to what its last sync covered, answers reads from that, and votes again
-only from what an environment that was opened anew has, once that one has taken a write.
+After a failed write it is unknown whether the batch is on disk: all of it may be, or none. The
+member therefore reverts to its last synced state and answers reads from that. It votes again only
+after the environment was reopened, accepted a test write, and its contents were read back.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 )
 from spokeroute.transport.messages import CopyAsk, FetchAsk, HeldAsk, Probe
 
-CELL_HEADER_BYTES = 256  # of a cell on disk, besides its value
+CELL_HEADER_BYTES = 256  # stored size of a cell, apart from its value
 
 
 def is_read(event: object) -> bool:
-    """Whether a peer's message is answered from what is synced, and changes nothing.
+    """Whether an event is a peer's read, which is answered from synced state and changes nothing.
 
     Example:
         >>> reads_only(None)
@@ -40,7 +40,7 @@
 
 
 def begin(state: State, reason: str, now_ms: Ms) -> tuple[State, Effects]:
-    """Back to what the last sync covered; nobody gets an answer that waited for this one.
+    """Revert to the last synced state and drop the replies that waited for the failed write.
 
     Example:
         state, effects = begin(state, "no space left on device", now_ms)
@@ -66,8 +66,8 @@
         pause_ms=next_pause_ms(state.pause_ms),
     )
     text = (
-        f"the store refused a write ({reason}): this member is read-only until its store takes "
-        "one; free the disk, or raise disk_mb"
+        f"store write failed ({reason}): this member is read-only until a write succeeds; free "
+        "disk space, or raise disk_mb"
     )
     return state, (Note(text, alarm=True), Tell("membership", StoreWritable(False)))
 
@@ -79,7 +79,7 @@
 
 
 def _synced_claim_times(state: State) -> Map[str, Ms]:
-    """When claims were accepted: of those only whose synced value is the one in memory."""
+    """Acceptance times of the claims whose synced value is the one in memory."""
 
     def digest(cells: Map[str, Cell], name: str) -> str:
         return cells.get(name, EMPTY).digest
@@ -94,7 +94,7 @@
 
 
 def step(state: State, outage: Outage, event: object, now_ms: Ms) -> tuple[State, Effects]:
-    """Nothing is promised, accepted or adopted; the store is opened again now and then.
+    """Promise, accept and adopt nothing; reopen the store at intervals.
 
     Example:
         state, effects = step(state, state.outage, Tick(), now_ms)
@@ -111,9 +111,9 @@
 
 
 def _reopen_failed(state: State, outage: Outage, reason: str, now_ms: Ms) -> tuple[State, Effects]:
-    """The next attempt comes after a longer pause."""
+    """Schedule the next attempt after a longer pause."""
     pause_ms = next_pause_ms(outage.pause_ms)
-    note = () if reason == outage.reason else (Note(f"the store stays read-only: {reason}"),)
+    note = () if reason == outage.reason else (Note(f"store is still read-only: {reason}"),)
     outage = replace(
         outage,
         reason=reason,
@@ -127,7 +127,7 @@
 def _reopened(
     state: State, outage: Outage, found: StoreReopened, now_ms: Ms
 ) -> tuple[State, Effects]:
-    """Start from what the disk has: the batch that failed may be on it."""
+    """Resume from the contents of the disk, which may include the batch whose write failed."""
     state = replace(
         state,
         roster=found.roster,
@@ -139,5 +139,5 @@
         holds_all_accepted=state.holds_all_accepted or found.votes,
         outage=None,
     )
-    note = Note(f"the store takes writes again after {now_ms - outage.since_ms} ms")
+    note = Note(f"store accepts writes again after {now_ms - outage.since_ms} ms")
     return state, (note, Tell("membership", StoreWritable(True)))
--- a/spokeroute/register/acceptor/outage_state.py
+++ b/spokeroute/register/acceptor/outage_state.py
@@ -1,4 +1,4 @@
-"""The state of an outage: a store that takes no writes, and when it is tried again."""
+"""The state of a store outage and the schedule of attempts to reopen the store."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """Since when the store takes no writes, why, and when it is opened again."""
+    """When and why store writes began to fail, and when reopening is tried next."""
 
     since_ms: Ms
     reason: str
@@ -23,7 +23,7 @@
 
 
 def next_pause_ms(pause_ms: int) -> int:
-    """The pause that follows one after which the store still took no writes.
+    """The pause before the next attempt to reopen, after one that failed: exponential backoff.
 
     Example:
         >>> next_pause_ms(800)
--- a/spokeroute/register/acceptor/probe_replies.py
+++ b/spokeroute/register/acceptor/probe_replies.py
@@ -1,5 +1,7 @@
-"""A member's answer to a probe: the versions that it has synced, and what the asker lacks of their
-values, as patches where that is less."""
+"""Replies to probes and fetches: synced versions, and values that the requester lacks.
+
+A value is sent as a patch where the patch is smaller.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +21,7 @@
 
 
 def reply_to_probe(state: State, node: NodeId, probe: Probe) -> Effects:
-    """The answer of a member that votes, by its disk; no other's counts.
+    """The reply of a member that is a voter according to its disk; other members don't reply.
 
     Example:
         reply_to_probe(state, NodeId("e1"), probe)
@@ -49,7 +51,7 @@
 
 
 def reply_to_fetch(state: State, node: NodeId, ask: FetchAsk) -> Effects:
-    """The one value that is asked for, if this member has synced it.
+    """The requested value, if this member has synced that version.
 
     Example:
         reply_to_fetch(state, NodeId("e1"), FetchAsk("floor", 7, digest))
@@ -62,7 +64,7 @@
 
 
 def patch_for(state: State, have: tuple[str, ...], copy: Copy) -> ValuePatch | None:
-    """A patch to a synced value from one that the asker has, if that one is still kept here.
+    """A patch to the synced value from one that the requester has, if that one is still cached.
 
     Example:
         patch_for(state, probe.have, copy)
--- a/spokeroute/register/acceptor/recent_values.py
+++ b/spokeroute/register/acceptor/recent_values.py
@@ -1,5 +1,7 @@
-"""The last synced values of the registers that are spread as patches: each patch begins from the
-value that its receiver has."""
+"""A cache of recent synced values, used as the base of patches.
+
+Registers that change often are sent to other nodes as patches of a value that the receiver has.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +13,7 @@
 from spokeroute.register.cells import EMPTY, Cell
 
 PATCHED_REGISTERS = (CONFIGURATION, FLOOR)
-MAX_RECENT_VALUES = 96  # a placement table changes up to some 20 times a second
+MAX_RECENT_VALUES = 96  # the placement table changes up to about 20 times a second
 MAX_RECENT_BYTES = 6 * 1024 * 1024
 
 
@@ -37,7 +39,7 @@
     size_bytes: int = 0
 
     def find(self, name: str, digest: str) -> bytes:
-        """A register's value of a digest; empty where it is not kept.
+        """The register's value with this digest; empty if it is not cached.
 
         Example:
             >>> RecentValues().with_value("floor", "d", b"value").find("floor", "d")
@@ -49,7 +51,7 @@
         return b""
 
     def with_value(self, name: str, digest: str, value: bytes) -> RecentValues:
-        """With one more value, without the oldest that there is no room for.
+        """Add a value and evict the oldest ones beyond the bounds.
 
         Example:
             >>> RecentValues().with_value("floor", "d", b"value").size_bytes
@@ -66,7 +68,7 @@
 
 
 def with_synced_values(earlier: RecentValues, cells: Mapping[str, Cell]) -> RecentValues:
-    """The values that are about to be replaced by later ones, kept.
+    """Cache the current synced values before later ones replace them.
 
     Example:
         >>> with_synced_values(RecentValues(), {}).kept
--- a/spokeroute/register/acceptor/state.py
+++ b/spokeroute/register/acceptor/state.py
@@ -1,4 +1,4 @@
-"""The acceptor's state: what it promised and accepted, what of that is synced, and who waits."""
+"""The acceptor's state: promised and accepted cells, which of them are synced, pending replies."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class State:
-    """The cells in memory, those on disk, and who waits for the next sync."""
+    """The cells in memory and on disk, the write in progress, and replies that wait for a sync."""
 
     me: MemberId
     roster: Roster | None
@@ -33,30 +33,28 @@
     synced_roster: Roster | None = None
     synced_votes: bool = False
     batch: int = 0
-    write_started_ms: Ms = Ms(0)  # since when the present sync runs
-    last_sync_ms: int = 0  # how long the last one took
-    outage: Outage | None = None  # while the store takes no writes
-    pause_ms: int = FIRST_PAUSE_MS  # before the store is opened again, should a write fail
-    holds_all_accepted: bool = (
-        False  # it voted, by its disk, in this process's life: it has all it accepted
-    )
-    first_seen_ms: Map[str, Ms] = field(
-        default_factory=Map
-    )  # claims and numbers, by this process's clock
-    in_force: int = 0  # an operator's number that was proved to be in force
-    claim_accepted_ms: Map[str, Ms] = field(
-        default_factory=Map
-    )  # claims: when this process accepted it
+    write_started_ms: Ms = Ms(0)  # start of the write in progress
+    last_sync_ms: int = 0  # duration of the last write and sync
+    outage: Outage | None = None  # set while the store is read-only
+    pause_ms: int = FIRST_PAUSE_MS  # delay before reopening after a failed write
+    # The disk showed this member as a voter during this process's lifetime, so the store has
+    # every value that the member accepted.
+    holds_all_accepted: bool = False
+    # Claims and configuration numbers, on this process's clock.
+    first_seen_ms: Map[str, Ms] = field(default_factory=Map)
+    in_force: int = 0  # a configuration number that is proved to have been in force
+    # When this process accepted the current value of each claim.
+    claim_accepted_ms: Map[str, Ms] = field(default_factory=Map)
     next_expiry_ms: Ms = Ms(0)
     absent: tuple[str, ...] = ()
-    stopping: bool = False  # it is about to end, and accepts nothing more
+    stopping: bool = False  # about to exit: promises and accepts nothing more
     ages: ClaimAges = ClaimAges()
-    copy_progress: Map[str, str] = field(default_factory=Map)  # under this epoch, while it joins
-    recent_values: RecentValues = RecentValues()  # what patches for the copies elsewhere begin from
+    copy_progress: Map[str, str] = field(default_factory=Map)  # while joining, for this epoch
+    recent_values: RecentValues = RecentValues()  # bases of patches for other nodes' copies
 
     @property
     def epoch(self) -> int:
-        """The epoch this member is at; 0 without a roster.
+        """The epoch of this member's roster; 0 without a roster.
 
         Example:
             State(me, None, False).epoch == 0
@@ -65,7 +63,7 @@
 
     @property
     def failed(self) -> bool:
-        """Whether this member is read-only because its store takes no writes.
+        """Whether this member is read-only because a store write failed.
 
         Example:
             start(me, None, False, Map()).failed == False
@@ -81,7 +79,7 @@
     ages: ClaimAges = ClaimAges(),  # noqa: B008 - frozen
     copied: Map[str, str] = Map(),  # noqa: B008 - frozen
 ) -> State:
-    """The state as the disk has it.
+    """The initial state, from what was loaded from disk.
 
     Example:
         start(MemberId("m1"), None, False, Map()).epoch == 0
--- a/spokeroute/register/proposer/__init__.py
+++ b/spokeroute/register/proposer/__init__.py
@@ -1,1 +1,1 @@
-"""The proposer: rounds of prepare and accept, and what was chosen while a member was away."""
+"""The Paxos proposer: prepare and accept rounds, and hinted handoff to members that missed them."""
--- a/spokeroute/register/proposer/accept_requests.py
+++ b/spokeroute/register/proposer/accept_requests.py
@@ -1,9 +1,9 @@
-"""The second half of a round, with as few bytes as its receiver can do with.
+"""Accept requests of a round, sent as patches where the receiver has the base value.
 
-A placement table changes ten times a second and more, by a few lines each time. So a member gets
-the new value as a patch of the one before, which the proposer knows to be chosen; one that promised
-with another value gets it whole. A member that has not got the base leaves a patch unanswered, and
-catches up like one that missed the round.
+A placement table changes ten or more times a second, by a few lines each time. A member is
+therefore sent the new value as a patch of the previous one, which the proposer knows to be chosen.
+A member whose promise named another value is sent the full value. A member without the base does
+not answer a patch, and catches up like one that missed the round.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def accept_messages(state: State, roster: Roster, current: Round, offer: Copy) -> tuple[Send, ...]:
-    """What each member is asked to accept.
+    """The accept request for each member of the roster.
 
     Example:
         accept_messages(state, roster, current, offer)[0].message.copy == offer
@@ -43,7 +43,7 @@
 
 
 def expand_accept(state: AcceptorState, ask: AcceptPatch) -> Accept | None:
-    """A patched ask with its value; None where this member has not got what it is a patch of.
+    """Expand a patched accept request to the full one; None if this member lacks the base value.
 
     Example:
         expand_accept(state, AcceptPatch(1, patch)) is None
--- a/spokeroute/register/proposer/hints.py
+++ b/spokeroute/register/proposer/hints.py
@@ -1,4 +1,4 @@
-"""Hints: what was chosen while a member was away, handed to it once it is heard."""
+"""Hinted handoff: values that a member missed are delivered once its heartbeat is received."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from spokeroute.transport.messages import Copy
 
 HINTS_PER_MEMBER = 4096
-HINTS_PER_HEARTBEAT = 64  # hints a heartbeat: a narrow link has rounds to carry, too
+HINTS_PER_HEARTBEAT = 64  # leaves room for rounds on a narrow link
 
 
 def add_hint(state: State, member: str, copy: Copy) -> State:
-    """With a hint for a member that a chosen value did not reach.
+    """Record a hint for a member that did not accept a chosen value.
 
     Example:
         add_hint(state, "m2", copy).hints["m2"]
@@ -28,7 +28,7 @@
 
 
 def deliver_hints(state: State, node: NodeId) -> tuple[State, Effects]:
-    """Hand a member that is heard some of what it missed.
+    """Deliver some of the hints recorded for a member that is reachable again.
 
     Example:
         state, effects = deliver_hints(state, NodeId("m2"))
--- a/spokeroute/register/proposer/known_values.py
+++ b/spokeroute/register/proposer/known_values.py
@@ -1,7 +1,8 @@
-"""The values that a proposer knows of the spread registers, which promises need not bring again.
+"""Chosen values that a proposer caches, so that promises can leave them out.
 
-Placement tables and configurations are large and change often, mostly by one proposer: each promise
-would bring it the value that it wrote itself, across zones and before each change.
+Placement tables and configurations are large and change often, mostly by one proposer. Without the
+cache each promise would return the value that this proposer wrote itself, across zones and before
+each change.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownValue:
-    """A value that was chosen, and its digest."""
+    """A chosen value and its digest."""
 
     digest: str
     value: bytes
@@ -27,7 +28,7 @@
 
 
 def with_known_value(known: KnownValues, copy: Copy, value: bytes) -> KnownValues:
-    """A round ended with a value.
+    """Cache the value that a round ended with, if its register is one of the replicated tables.
 
     Example:
         >>> with_known_value(Map(), Copy("floor", 1, "d", 1, "m1"), b"table")["floor"].digest
@@ -39,7 +40,7 @@
 
 
 def known_digest(known: KnownValues, name: str) -> str:
-    """The digest of the value that is known of a register; empty where none is.
+    """The digest of a register's cached value; empty if there is none.
 
     Example:
         >>> known_digest(Map(), "floor")
@@ -50,7 +51,7 @@
 
 
 def with_known_bytes(known: KnownValues, promise: Promise) -> Promise | None:
-    """A promise with its value; None where that was left out and is not the known one.
+    """Restore a promise's omitted value; None if it was omitted and is not the cached one.
 
     Example:
         with_known_bytes(Map(), promise) is promise
--- a/spokeroute/register/proposer/rounds.py
+++ b/spokeroute/register/proposer/rounds.py
@@ -1,4 +1,4 @@
-"""Open rounds of registers, and with which members this process has contact."""
+"""The proposer's state: open rounds of each register, and contact with the other members."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 from spokeroute.transport.messages import Copy, Promise
 
 ROUND_MS = 400
-CONTACT_MS = 1_200  # a member is in contact that was heard this lately: two heartbeats, and a way
-COUNTERS_PER_LIFE = 2**32
+CONTACT_MS = 1_200  # two heartbeat intervals and the transit time
+COUNTERS_PER_INCARNATION = 2**32
 
 
 @dataclass(frozen=True, slots=True)
 class Operation:
-    """An ask and how far it came."""
+    """A request and its progress."""
 
     ask: Ask
     deadline_ms: Ms
-    offered: str = ""  # digest of a value of ours that members may have accepted
-    fail_fast_after_ms: Ms = Ms(-1)  # from when it is given up without a majority in contact
+    offered: str = ""  # digest of our value, which members may have accepted
+    fail_fast_after_ms: Ms = Ms(-1)  # then fails without a reachable majority
 
 
 @dataclass(frozen=True, slots=True)
 class Round:
-    """One register's open round."""
+    """The open round of one register."""
 
     op: Operation
     ballot: Ballot
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class State:
-    """Open rounds, what waits behind them, and hints for members that missed some."""
+    """Open rounds, operations queued behind them, and hints for members that missed values."""
 
     me: MemberId
     seed: int
@@ -54,28 +54,38 @@
     rounds: Map[str, Round] = field(default_factory=Map)
     queue: Map[str, tuple[Operation, ...]] = field(default_factory=Map)
     counters_seen: Map[str, int] = field(default_factory=Map)
-    counter_floor: int = 0  # no counter up to here is drawn again, whatever the register
-    incarnation: int = 0  # this process's own: answers to an earlier one are void
-    contact_ms: Map[str, Ms] = field(default_factory=Map)  # when both ways were last known open
+    counter_floor: int = 0  # counters up to this one are never used again, in any register
+    incarnation: int = 0  # answers to an earlier incarnation are ignored
+    contact_ms: Map[str, Ms] = field(
+        default_factory=Map
+    )  # last proof of contact in both directions
     hints: Map[str, Map[str, Copy]] = field(default_factory=Map)
-    round_timeout_ms: int = ROUND_MS  # how long a round may take: learned, as disks may be slow
-    last_heard: Map[str, tuple[int, Ms]] = field(default_factory=Map)  # which life, and when
+    round_timeout_ms: int = ROUND_MS  # adapted to slow disks
+    last_heard: Map[str, tuple[int, Ms]] = field(default_factory=Map)  # incarnation and time
     backoff_draws: int = 0
     known_values: KnownValues = field(default_factory=Map)
 
 
-def start(me: MemberId, seed: int, roster: Roster | None, life: int) -> State:
-    """The state at a process's start; ``life`` counts the starts of its disk. Each life draws
-    from counters of its own: an answer to an earlier life's ballot would count in this one.
+def start(me: MemberId, seed: int, roster: Roster | None, incarnation: int) -> State:
+    """The state at process start; ``incarnation`` counts the starts recorded on the disk.
+
+    Each incarnation uses its own range of counters. Otherwise an answer to a ballot of an earlier
+    incarnation would count in this one.
 
     Example:
         start(MemberId("m1"), 7, None, 1).used == 0
     """
-    return State(me, seed, roster, counter_floor=(life - 1) * COUNTERS_PER_LIFE, incarnation=life)
+    return State(
+        me,
+        seed,
+        roster,
+        counter_floor=(incarnation - 1) * COUNTERS_PER_INCARNATION,
+        incarnation=incarnation,
+    )
 
 
 def in_contact(state: State, node: NodeId, now_ms: Ms) -> State:
-    """Another member answered: both ways between it and this process are open.
+    """Record an answer from another member, which proves contact in both directions.
 
     Example:
         state = in_contact(state, NodeId("m2"), now_ms)
@@ -85,7 +95,7 @@
 
 
 def members_without_contact(state: State, now_ms: Ms) -> tuple[str, ...]:
-    """Members that this process has had no contact with lately.
+    """Members that this process has had no contact with within ``CONTACT_MS``.
 
     Example:
         silent(state, now_ms) == ("m2",)
@@ -100,7 +110,7 @@
 
 
 def lacks_majority(state: State, now_ms: Ms) -> bool:
-    """Whether this process has contact with no majority of the roster, itself counted.
+    """Whether this process, counting itself, lacks contact with a majority of the roster.
 
     Example:
         alone(start(MemberId("m1"), 7, None, 1), Ms(0))
--- a/spokeroute/register/proposer/timeouts.py
+++ b/spokeroute/register/proposer/timeouts.py
@@ -1,4 +1,4 @@
-"""How long an ask is tried for, and why it was given up."""
+"""Deadlines of operations, and the reason reported when one times out."""
 
 from __future__ import annotations
 
@@ -7,34 +7,34 @@
 from spokeroute.register.membership.missing import missing_of
 from spokeroute.register.proposer.rounds import Operation, Round, State, lacks_majority
 
-ABSENT_AFTER_MS = 1_500  # a member that was silent for so long has missed something
-STARTUP_CONTACT_MS = 700  # a process that had no contact yet is still meeting the others
+ABSENT_AFTER_MS = 1_500  # after this silence a member has missed some rounds
+STARTUP_CONTACT_MS = 700  # extra time for a new process that has had no contact yet
 
 
 def new_operation(ask: Ask, now_ms: Ms) -> Operation:
-    """An ask that begins now.
+    """Start an operation for a request.
 
     Example:
-        op_of(ask, now_ms).deadline_ms == now_ms + ask.wait_ms
+        new_operation(ask, now_ms).deadline_ms == now_ms + ask.wait_ms
     """
     fail_fast_after_ms = Ms(now_ms + ask.alone_ms) if ask.alone_ms else Ms(-1)
     return Operation(ask, Ms(now_ms + ask.wait_ms), fail_fast_after_ms=fail_fast_after_ms)
 
 
-def lacks_required_contact(state: State, op: Operation, now_ms: Ms) -> bool:
-    """Whether an op that should not wait for contact has none.
+def lacks_required_contact(state: State, operation: Operation, now_ms: Ms) -> bool:
+    """Whether an operation that must not wait for a reachable majority has none.
 
     Example:
-        lacks_required_contact(state, op, now_ms) is False
+        lacks_required_contact(state, operation, now_ms) is False
     """
-    if op.fail_fast_after_ms < 0:
+    if operation.fail_fast_after_ms < 0:
         return False
     more_ms = 0 if state.contact_ms else STARTUP_CONTACT_MS
-    return now_ms >= op.fail_fast_after_ms + more_ms and lacks_majority(state, now_ms)
+    return now_ms >= operation.fail_fast_after_ms + more_ms and lacks_majority(state, now_ms)
 
 
 def timeout_reason(state: State, current: Round, now_ms: Ms) -> str:
-    """Who would have been needed, in words for the asker.
+    """The reason reported to the requester: which members would have been needed.
 
     Example:
         timeout_reason(State(me, 1), current, now_ms) == "this registry has no roster yet"
