--- a/spokeroute/register/acceptor/claim_ages.py
+++ b/spokeroute/register/acceptor/claim_ages.py
@@ -51,7 +51,7 @@
         """First-seen times of the loaded claims, on this process's clock.
 
         Example:
-            >>> ClaimAges(Map({"claim/k": 100}), 500).at(Ms(2_000)).births()["claim/k"]
+            >>> ClaimAges(Map({"claim/k": 100}), 500).at(Ms(2_000)).first_seen_ms()["claim/k"]
             1600
         """
         return Map({name: Ms(self.uptime_origin_ms + at_ms) for name, at_ms in self.loaded.items()})
@@ -72,7 +72,7 @@
         """Put back the first-seen times of a failed write, to be saved with the next one.
 
         Example:
-            >>> ClaimAges().again((("claim/k", 5),)).unsaved
+            >>> ClaimAges().with_unsaved((("claim/k", 5),)).unsaved
             (('claim/k', 5),)
         """
         return replace(self, unsaved=(*first_seen_ms, *self.unsaved))
--- a/spokeroute/register/acceptor/expiry.py
+++ b/spokeroute/register/acceptor/expiry.py
@@ -21,7 +21,7 @@
     ``in_force`` is a configuration number that is proved to have been in force.
 
     Example:
-        >>> age(["claim/k1"], Map({"claim/k1": Ms(0)}), 0, Ms(CLAIM_RETENTION_MS + 1))[1]
+        >>> expire(["claim/k1"], Map({"claim/k1": Ms(0)}), 0, Ms(CLAIM_RETENTION_MS + 1))[1]
         ('claim/k1',)
     """
     met = born.mutate()
--- a/spokeroute/register/acceptor/outage.py
+++ b/spokeroute/register/acceptor/outage.py
@@ -31,7 +31,7 @@
     """Whether an event is a peer's read, which is answered from synced state and changes nothing.
 
     Example:
-        >>> reads_only(None)
+        >>> is_read(None)
         False
     """
     return isinstance(event, From) and isinstance(
--- a/spokeroute/register/disk/__init__.py
+++ b/spokeroute/register/disk/__init__.py
@@ -1,1 +1,1 @@
-"""The disk: the durable store of a member, its format and its faults."""
+"""The durable store of a member: lmdb environment, on-disk format and errors."""
--- a/spokeroute/register/disk/errors.py
+++ b/spokeroute/register/disk/errors.py
@@ -1,4 +1,4 @@
-"""Why a member's disk can't be used."""
+"""Errors of a member's durable store."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 
 class DiskRefusedError(DiskError):
-    """The store took no write at its start: its disk may be full for a while only."""
+    """The store refused a write at start; this may be temporary, such as a full disk."""
 
 
 class DiskBusyError(DiskError):
-    """The store can't be read right now: it takes no writes, or is being opened anew."""
+    """The store can't be read at the moment: it is read-only or being reopened."""
--- a/spokeroute/register/disk/format.py
+++ b/spokeroute/register/disk/format.py
@@ -1,4 +1,4 @@
-"""How cells and the roster stand on the disk: each under a checksum of its own."""
+"""The on-disk format of cells and the roster, each with its own checksum."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from spokeroute.register.cells import Cell, digest_of
 from spokeroute.register.disk.errors import DiskError
 
-FIELDS_WITH_VOTED = 7  # a cell's head has so many fields since it says whether it was voted
+FIELDS_WITH_VOTED = 7  # older headers have no ``voted`` field
 
 
 def pack_cell(cell: Cell) -> bytes:
-    """A cell as the disk has it: its head, under a checksum, and its value.
+    """Serialise a cell: a header with a checksum, then the value.
 
     Example:
         unpack_cell("floor", pack_cell(cell)) == cell
@@ -27,7 +27,7 @@
 
 
 def unpack_cell(name: str, data: bytes) -> Cell:
-    """The cell that was packed; an error that names the remedy if it is not what was written.
+    """Deserialise a cell; raises an error that names the remedy if the cell is corrupted.
 
     Example:
         unpack_cell("floor", pack_cell(cell)) == cell
@@ -35,7 +35,7 @@
     try:
         size, check = int.from_bytes(data[:4], "big"), int.from_bytes(data[4:8], "big")
         if zlib.crc32(data[8 : 8 + size]) != check:
-            raise ValueError("its ballots are not what was written")
+            raise ValueError("checksum of the cell header does not match")
         head = json.loads(data[8 : 8 + size])
         value = bytes(data[8 + size :])
         cell = Cell(
@@ -51,7 +51,7 @@
 
 
 def add_checksum(raw: bytes) -> bytes:
-    """Bytes under a checksum.
+    """Prepend a CRC-32 checksum.
 
     Example:
         verify_checksum(add_checksum(b"x")) == b"x"
@@ -60,18 +60,18 @@
 
 
 def verify_checksum(data: bytes) -> bytes:
-    """What was sealed, if it still is what was written.
+    """Strip the checksum; raises ``ValueError`` if it does not match.
 
     Example:
         verify_checksum(add_checksum(b"x")) == b"x"
     """
     if zlib.crc32(data[4:]).to_bytes(4, "big") != data[:4]:
-        raise ValueError("it is not what was written")
+        raise ValueError("checksum does not match")
     return data[4:]
 
 
 def corruption_error(what: str) -> DiskError:
-    """The error of a store that is not what was written.
+    """The error for a store with corrupted contents.
 
     Example:
         raise corruption_error("a page")
--- a/spokeroute/register/disk/jobs.py
+++ b/spokeroute/register/disk/jobs.py
@@ -1,4 +1,4 @@
-"""What the acceptor asks of the thread that owns the store, and what that thread reports."""
+"""Jobs for the thread that owns the store, and the results that it reports."""
 
 from __future__ import annotations
 
@@ -11,46 +11,45 @@
 
 @dataclass(frozen=True, slots=True)
 class DiskWrite:
-    """A job for the disk's thread: put these cells and sync, drop those names."""
+    """Job: write these cells and delete those names in one synced transaction."""
 
     batch: int
     cells: tuple[tuple[str, Cell], ...]
     deletions: tuple[str, ...]
     roster: Roster | None
     votes: bool
-    first_seen_ms: tuple[
-        tuple[str, int], ...
-    ] = ()  # claims: at which running time of the disk they came
-    total_uptime_ms: int = 0  # how long the disk's processes ran by now, all lives together
-    copy_progress: Map[str, str] = Map()  # while it joins: old members, and up to which name
+    first_seen_ms: tuple[tuple[str, int], ...] = ()  # claims, in cumulative uptime
+    total_uptime_ms: int = 0  # of the disk's processes, summed over restarts
+    copy_progress: Map[str, str] = Map()  # while joining: old member -> last name copied
 
 
 @dataclass(frozen=True, slots=True)
 class DiskDone:
-    """A batch is synced."""
+    """Result: a batch is synced."""
 
     batch: int
 
 
 @dataclass(frozen=True, slots=True)
 class DiskFailed:
-    """A write failed, of a batch or of ledger entries: nothing is known of what is on the disk,
-    and the environment may be unusable."""
+    """Result: a write of a batch or of ledger entries failed.
+
+    It is unknown whether the write is on disk, and the environment may be unusable.
+    """
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class ReopenStore:
-    """A job for the disk's thread: open the environment anew, prove that it takes a write of
-    ``probe_bytes``, and read back all that it holds."""
+    """Job: reopen the environment, verify it with a write of ``probe_bytes``, and load it."""
 
     probe_bytes: int
 
 
 @dataclass(frozen=True, slots=True)
 class StoreReopened:
-    """The store takes writes again, and this is what it holds."""
+    """Result: the store accepts writes again and has these contents."""
 
     roster: Roster | None
     votes: bool
@@ -59,13 +58,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ReopenFailed:
-    """The store could not be opened, read or written."""
+    """Result: the store could not be opened, read or written."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class StoreWritable:
-    """To the membership: whether this member's store takes writes from now on."""
+    """To membership: whether this member's store accepts writes from now on."""
 
     writable: bool
--- a/spokeroute/register/disk/loaded.py
+++ b/spokeroute/register/disk/loaded.py
@@ -1,4 +1,4 @@
-"""What a member's disk held when it was opened."""
+"""The contents of a member's disk, as loaded when it is opened."""
 
 from __future__ import annotations
 
@@ -10,13 +10,15 @@
 from spokeroute.common.ids import MemberId
 from spokeroute.register.cells import Cell, Roster
 
-FIRST_SEEN_PREFIX = b"born/"  # claims' births stand beside the other facts on this disk
+FIRST_SEEN_PREFIX = b"born/"  # keys of claims' first-seen times, in the meta table
 
 
 @dataclass(frozen=True, slots=True)
 class Loaded:
-    """What a disk held when it was opened, and how often it was: a later life of the member's
-    process has a greater number."""
+    """The contents of a disk and the number of times it was started.
+
+    The start count grows with each start, so it orders the incarnations of a member's process.
+    """
 
     member: MemberId
     roster: Roster | None
@@ -29,10 +31,10 @@
 
 
 def read_first_seen(txn: Any, meta: Any) -> Map[str, int]:
-    """At which running time of the disk its claims came.
+    """The first-seen times of the claims, in cumulative uptime of the disk.
 
     Example:
-        births(txn, meta) == Map()
+        read_first_seen(txn, meta) == Map()
     """
     found: dict[str, int] = {}
     cursor = txn.cursor(db=meta)
--- a/spokeroute/register/proposer/rounds.py
+++ b/spokeroute/register/proposer/rounds.py
@@ -98,7 +98,7 @@
     """Members that this process has had no contact with within ``CONTACT_MS``.
 
     Example:
-        silent(state, now_ms) == ("m2",)
+        members_without_contact(state, now_ms) == ("m2",)
     """
     ids = state.roster.ids if state.roster else ()
     return tuple(
@@ -113,7 +113,7 @@
     """Whether this process, counting itself, lacks contact with a majority of the roster.
 
     Example:
-        alone(start(MemberId("m1"), 7, None, 1), Ms(0))
+        lacks_majority(start(MemberId("m1"), 7, None, 1), Ms(0))
     """
     roster = state.roster
     return (
--- a/spokeroute/registry/disk_executor.py
+++ b/spokeroute/registry/disk_executor.py
@@ -1,4 +1,4 @@
-"""The disk's one thread, and what it reports to the cores."""
+"""The disk thread: carries out store jobs and reports results to the actors."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 def open_store(
     folder: Path, size_mb: int, pause: Callable[[float], None] = time.sleep
 ) -> tuple[Disk, Loaded]:
-    """A member's store and what it holds; waited for while its disk takes no write, for a start
-    is counted on it.
+    """Open and load a member's store. Retries while the disk refuses writes, because counting the
+    start needs one.
 
     Example:
         disk, loaded = open_store(Path("data"), 256)
@@ -43,7 +43,7 @@
                 disk.close()
                 raise
         except DiskRefusedError as fault:
-            logging.error("%s; this registry starts once it does", fault)
+            logging.error("%s; this registry starts once a write succeeds", fault)
             pause(OPEN_RETRY_S)
 
 
@@ -52,8 +52,8 @@
 
 
 class DiskExecutor:
-    """The disk's one thread: batches of cells, ledger entries between them, and the opening of
-    the store anew after a write that failed. Reports come in the order of the jobs.
+    """A single thread for all store jobs: cell batches, ledger entries, and reopening the store
+    after a failed write. Results are reported in the order of the jobs.
 
     Example:
         edge = DiskExecutor(disk, loaded.member, loop.report)
@@ -66,7 +66,7 @@
         self.pool = ThreadPoolExecutor(1, thread_name_prefix="disk")
 
     def write(self, actor: str, job: DiskWrite) -> None:
-        """Have a batch of cells written and synced.
+        """Queue a batch of cells to be written and synced.
 
         Example:
             edge.write("acceptor", job)
@@ -76,13 +76,13 @@
     def _write(self, actor: str, job: DiskWrite) -> None:
         try:
             self.disk.write(job)
-        except Exception as fault:  # lmdb raises many kinds
+        except Exception as fault:  # lmdb raises many exception types
             self.report(actor, DiskFailed(_text(fault)))
             return
         self.report(actor, DiskDone(job.batch))
 
     def ledger(self, actor: str, job: LedgerWrite) -> None:
-        """Have ledger entries written and synced.
+        """Queue ledger entries to be written and synced.
 
         Example:
             edge.ledger("ledger", job)
@@ -94,11 +94,11 @@
         try:
             self.disk.append(job.entries, RETAINED_ENTRIES)
         except lmdb.MapFullError as fault:
-            # The environment is sound: only the ledger has no room left.
-            logging.error("the ledger has no room (%s): raise disk_mb", fault)
+            # The environment is intact; only the ledger has no space left.
+            logging.error("ledger store is full (%s): raise disk_mb", fault)
             self.report(actor, LedgerFailed(low, high, job.ack_to))
         except Exception as fault:
-            # The registers share the environment, which may be unusable from now on.
+            # The registers share the environment, which may be unusable after this error.
             self.report(actor, LedgerFailed(low, high, job.ack_to))
             self.report("acceptor", DiskFailed(_text(fault)))
         else:
@@ -123,7 +123,7 @@
             self.report(actor, StoreReopened(found.roster, found.votes, found.cells))
 
     def close(self) -> None:
-        """Carry out what was asked for, then close the store.
+        """Finish queued jobs, then close the store.
 
         Example:
             edge.close()
--- a/spokeroute/registry/headers.py
+++ b/spokeroute/registry/headers.py
@@ -1,5 +1,7 @@
-"""What an operator's request says beside its body: the version that it expects, its number, its
-own id. Each is read whole or refused."""
+"""Headers and query parameters of operator requests: expected version, number and order id.
+
+A value that can't be parsed completely is rejected.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +13,7 @@
 from spokeroute.register.numbers import MAX_NUMBER
 
 _ORDER_ID = re.compile(r"[A-Za-z0-9._-]{1,64}")
-_MAX_DIGITS = 19  # of MAX_NUMBER
+_MAX_DIGITS = 19  # digits of MAX_NUMBER
 
 
 def _parse_integer(raw: str) -> int | None:
@@ -19,7 +21,7 @@
 
 
 def expected_version(environ: dict[str, Any]) -> int | Answer:
-    """The version in If-Match; -1 where none is given.
+    """The version in If-Match; -1 if absent.
 
     Example:
         >>> expected_version({"HTTP_IF_MATCH": '"7"'})
@@ -35,7 +37,7 @@
 
 
 def number_parameter(environ: dict[str, Any]) -> int | Answer:
-    """The number in the query; 0 where none is given.
+    """The configuration number in the query; 0 if absent.
 
     Example:
         >>> number_parameter({"QUERY_STRING": "number=70"})
@@ -55,7 +57,7 @@
 
 
 def order_id_header(environ: dict[str, Any]) -> str | Answer:
-    """The id that the sender drew for its order; empty where none is given.
+    """The sender's id for its order, which makes a retry idempotent; empty if absent.
 
     Example:
         >>> order_id_header({"HTTP_SPOKEROUTE_APPLY_ID": "a-1"})
