--- a/spokeroute/dispatch/flare/steering.py
+++ b/spokeroute/dispatch/flare/steering.py
@@ -25,7 +25,7 @@
     """
     suspects = suspects_of(state.reports, now_ms)
     now, faults = picture(
-        state.floor, table, means_of(state.reports), seats_of(state),
+        state.placements, table, means_of(state.reports), seats_of(state),
         state.evacuated, suspects, state.policy,
     )  # fmt: skip
     effects: list[Effect] = []
--- a/spokeroute/dispatch/placement/listing.py
+++ b/spokeroute/dispatch/placement/listing.py
@@ -1,4 +1,4 @@
-"""What the platform's listing shows of the floor's instances, and what in it is nobody's.
+"""What the platform's listing shows of the placement table's instances, and what in it is nobody's.
 
 A listing is late, and has an instance only once it has started. So what it lacks counts only
 for an instance that it had before, or that is up for longer than a listing may be late.
@@ -15,7 +15,7 @@
 from spokeroute.common.ids import Ms
 from spokeroute.dispatch.placement.plan import LISTED_ENDED, LOST_AFTER_LISTINGS, going
 from spokeroute.dispatch.placement.platform import PlatformCall, PlatformListed
-from spokeroute.dispatch.placement.table import DRAINING, STARTING, UP, Floor, Placed
+from spokeroute.dispatch.placement.table import DRAINING, STARTING, UP, Placed, PlacementTable
 from spokeroute.dispatch.placement.workbook import identity_of
 
 ORPHAN_MS = 10_000
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sighting:
-    """What the listings said of one instance on the floor."""
+    """What the listings said of one instance on the placement table."""
 
     since_ms: int  # since when it is looked for
     listed: bool = False  # some listing had it
@@ -48,17 +48,21 @@
 
 
 def sightings_of(
-    floor: Floor, listing: PlatformListed, old: Map[str, Sighting], lag_ms: int, now_ms: int
+    placements: PlacementTable,
+    listing: PlatformListed,
+    old: Map[str, Sighting],
+    lag_ms: int,
+    now_ms: int,
 ) -> Map[str, Sighting]:
     """Take a newer listing in. What starts, and what never was listed and drains, is not
     looked for: it may be booting yet.
 
     Example:
-        len(sightings_of(NO_FLOOR, listing, Map(), 500, 0)) == 0
+        len(sightings_of(EMPTY_PLACEMENT_TABLE, listing, Map(), 500, 0)) == 0
     """
     there = {p.identity for p in listing.listed}
     out: dict[str, Sighting] = {}
-    for placed in floor.instances:
+    for placed in placements.instances:
         before = old.get(placed.id)
         if identity_of(placed) in there:
             out[placed.id] = Sighting(before.since_ms if before else now_ms, True)
@@ -72,18 +76,18 @@
 
 
 def absent_from(
-    floor: Floor, listing: PlatformListed, sightings: Mapping[str, Sighting]
+    placements: PlacementTable, listing: PlatformListed, sightings: Mapping[str, Sighting]
 ) -> tuple[str, ...]:
-    """Instances that the floor has up or draining, and the newest listing has not, or shows as
+    """Instances that the table has up or draining, and the newest listing has not, or shows as
     ended or going. Every registry says so with its proofs, whoever holds the role.
 
     Example:
-        absent_from(NO_FLOOR, listing, {}) == ()
+        absent_from(EMPTY_PLACEMENT_TABLE, listing, {}) == ()
     """
     listed = {p.identity: p for p in listing.listed}
     seats = {s.id: s for s in listing.seats}
     out: list[str] = []
-    for placed in floor.instances:
+    for placed in placements.instances:
         if placed.state == STARTING and not placed.holder:
             continue
         if placed.state not in (STARTING, UP, DRAINING):
@@ -98,23 +102,23 @@
 
 
 def orphan_stops(
-    floor: Floor,
+    placements: PlacementTable,
     listing: PlatformListed,
     orphan_ms: Map[str, int],
     lease_until_ms: Ms,
     now_ms: Ms,
 ) -> tuple[list[PlatformCall], Map[str, int]]:
-    """Stops for instances that are listed but on no floor, such as one whose start was late.
+    """Stops for instances that are listed but on no table, such as one whose start was late.
 
-    A floor has an instance before its start is asked for, so what it lacks for this long is
+    A table has an instance before its start is asked for, so what it lacks for this long is
     nobody's; unless a start of that service on that worker was never answered: then it may be
-    the one that came of it, under a name that the floor doesn't know yet.
+    the one that came of it, under a name that the placement table doesn't know yet.
 
     Example:
-        orphan_stops(NO_FLOOR, listing, Map(), 1000, 0)[0] == []
+        orphan_stops(EMPTY_PLACEMENT_TABLE, listing, Map(), 1000, 0)[0] == []
     """
-    there = {identity_of(p) for p in floor.instances}
-    open_starts = {(p.service, p.worker) for p in floor.instances if _unanswered(p)}
+    there = {identity_of(p) for p in placements.instances}
+    open_starts = {(p.service, p.worker) for p in placements.instances if _unanswered(p)}
     since: dict[str, int] = {}
     calls: list[PlatformCall] = []
     for listed in listing.listed:
@@ -136,7 +140,7 @@
                     0,
                     lease_until_ms,
                     name,
-                    floor.term,
+                    placements.term,
                 )
             )
     return calls, Map(since)
--- a/spokeroute/dispatch/placement/placing.py
+++ b/spokeroute/dispatch/placement/placing.py
@@ -20,12 +20,12 @@
 from spokeroute.dispatch.placement.platform import PlatformListed
 from spokeroute.dispatch.placement.reports import Reported
 from spokeroute.dispatch.placement.table import (
-    NO_FLOOR,
+    EMPTY_PLACEMENT_TABLE,
     STARTING,
     UP,
-    Floor,
+    PlacementTable,
     unpack_evacuated,
-    unpack_floor,
+    unpack_placement_table,
 )
 from spokeroute.dispatch.placement.upkeep import Marks
 from spokeroute.dispatch.scaling.scaler import Demand, WorkerSeat
@@ -46,15 +46,15 @@
 
 @dataclass(frozen=True, slots=True)
 class State:
-    """All that placement knows. The floor here is the one this node knows to be chosen."""
+    """All that placement knows. The table here is the one this node knows to be chosen."""
 
     me: NodeId
     core_ids: frozenset[str] = frozenset()
     term: int = 0
     lease_until_ms: Ms = Ms(-1)
-    floor: Floor = NO_FLOOR
-    floor_version: int = -1  # -1: to be read at the term's start
-    floor_op: str = ""
+    placements: PlacementTable = EMPTY_PLACEMENT_TABLE
+    placements_version: int = -1  # -1: to be read at the term's start
+    placements_op_id: str = ""
     reports: Map[str, Reported] = field(default_factory=Map)
     listing: PlatformListed = PlatformListed(False, 0, (), ())
     listing_ms: Ms = Ms(-(10**6))
@@ -149,12 +149,12 @@
     newer = listing.sequence > state.listing.sequence or now_ms - state.listing_ms > ANEW_MS
     if not listing.ok or not newer:
         return state
-    up = sum(1 for p in state.floor.instances if p.state == UP)
+    up = sum(1 for p in state.placements.instances if p.state == UP)
     bare = not listing.seats or (up > 1 and not listing.listed)
     if bare and state.bare + 1 < BARE_LISTINGS:
         return replace(state, bare=state.bare + 1)
     lag_ms = state.bounds.listing_lag_ms
-    sightings = sightings_of(state.floor, listing, state.sightings, lag_ms, now_ms)
+    sightings = sightings_of(state.placements, listing, state.sightings, lag_ms, now_ms)
     return replace(state, listing=listing, listing_ms=now_ms, sightings=sightings, bare=0)
 
 
@@ -176,7 +176,7 @@
 
 
 def refreshed(state: State, fresh: Fresh) -> State:
-    """Take newly proved copies in; the floor only where another writes it.
+    """Take newly proved copies in; the placement table only where another writes it.
 
     Example:
         state = refreshed(state, fresh)
@@ -189,14 +189,14 @@
     old = state.table.programs if state.table else None
     if table is not None and table.programs != old:
         policy = compile_policy(table)
-    floor = state.floor
+    placements = state.placements
     if not state.term:
-        floor = unpack_floor(fresh.values.get(FLOOR, b""))
+        placements = unpack_placement_table(fresh.values.get(FLOOR, b""))
     return replace(
         state,
         table=table,
         policy=policy,
-        floor=floor,
+        placements=placements,
         evacuated=unpack_evacuated(fresh.values.get("evacuation", b"")),
         versions=Map(fresh.versions),
     )
@@ -231,7 +231,7 @@
     if not waits or state.table is None or waits.isdisjoint(state.table.services):
         return False
     room = dict.fromkeys(waits, 0)
-    for placed in state.floor.instances:
+    for placed in state.placements.instances:
         if placed.service in room and placed.state in (STARTING, UP):
             room[placed.service] += placed.limit if placed.zone not in state.evacuated else 0
     asked = dict.fromkeys(waits, 0)
@@ -248,7 +248,7 @@
     Example:
         told_by(State(NodeId("m1")), NodeId("ex1"), 1, HeldWord("a", "quiet")) is None
     """
-    for placed in state.floor.instances:
+    for placed in state.placements.instances:
         if placed.id == word.instance:
             if (placed.holder, placed.holder_incarnation) != (node, incarnation):
                 return None
--- a/spokeroute/dispatch/placement/workbook.py
+++ b/spokeroute/dispatch/placement/workbook.py
@@ -18,7 +18,7 @@
 from spokeroute.dispatch.configuration.configuration import Table
 from spokeroute.dispatch.flare.algorithms import Shift
 from spokeroute.dispatch.placement.reports import Words
-from spokeroute.dispatch.placement.table import Floor, Placed
+from spokeroute.dispatch.placement.table import Placed, PlacementTable
 from spokeroute.dispatch.scaling.scaler import Demand, WorkerSeat
 
 
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Seen:
-    """Everything that a planning pass looks at, besides the floor."""
+    """Everything that a planning pass looks at, besides the placement table."""
 
     now_ms: int
     table: Table
@@ -131,9 +131,9 @@
 class Pass:
     """A pass's workbook; it lives for one call of ``plan`` and no longer."""
 
-    def __init__(self, floor: Floor, seen: Seen) -> None:
+    def __init__(self, placements: PlacementTable, seen: Seen) -> None:
         self.seen = seen
-        self.now = Instances(floor.instances)
+        self.now = Instances(placements.instances)
         self.decisions: list[Decision] = []
         self.surplus: set[str] = set()
         self.started = 0
--- a/spokeroute/dispatch/scaling/start_marks.py
+++ b/spokeroute/dispatch/scaling/start_marks.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from spokeroute.common.ids import Ms
-from spokeroute.dispatch.placement.table import STARTING, UP, Floor
+from spokeroute.dispatch.placement.table import STARTING, UP, PlacementTable
 from spokeroute.dispatch.placement.workbook import Decision
 from spokeroute.dispatch.scaling.start_steps import StartStep, StartSteps
 
@@ -19,17 +19,19 @@
     return str(output["instance"]) if isinstance(output, dict) else ""
 
 
-def steps_of(starts: StartSteps, before: Floor, floor: Floor, now_ms: Ms) -> StartSteps:
+def steps_of(
+    starts: StartSteps, before: PlacementTable, placements: PlacementTable, now_ms: Ms
+) -> StartSteps:
     """The steps that end where a table was chosen: a start is written, a holder named, or an
     instance marked as up.
 
     Example:
-        steps_of(StartSteps(), NO_FLOOR, floor, now_ms).steps
+        steps_of(StartSteps(), EMPTY_PLACEMENT_TABLE, placements, now_ms).steps
     """
     if not starts.open:
         return starts
     known = {placed.id: placed for placed in before.instances}
-    for placed in floor.instances:
+    for placed in placements.instances:
         old = known.get(placed.id)
         if placed.id not in starts.open or old is placed:
             continue
--- a/tests/one_exchange.py
+++ b/tests/one_exchange.py
@@ -31,7 +31,7 @@
     build_table,
     pack_configuration,
 )
-from spokeroute.dispatch.placement.table import UP, Floor, Placed, pack_floor
+from spokeroute.dispatch.placement.table import UP, Placed, PlacementTable, pack_placement_table
 from spokeroute.exchange.front import Front
 from spokeroute.exchange.sender import Sender
 from spokeroute.exchange.types import Revoke, SendAttempt
@@ -130,7 +130,7 @@
             Address(self.instance.address), 4, UP, True, True, self.me.node, self.me.incarnation,
             "i-1", self.me.address,
         )  # fmt: skip
-        floor = pack_floor(Floor(Term(1), version, (placed,)))
+        floor = pack_placement_table(PlacementTable(Term(1), version, (placed,)))
         now_ms = monotonic_ms()
         fresh = Fresh(
             now_ms, {"configuration": version, "floor": version}, {"floor": floor},
--- a/tests/sim/changing.py
+++ b/tests/sim/changing.py
@@ -8,7 +8,7 @@
 
 from spokeroute.common.bounds import Bounds
 from spokeroute.common.ids import FLOOR, PLACEMENT
-from spokeroute.dispatch.placement.table import pack_floor, unpack_floor
+from spokeroute.dispatch.placement.table import pack_placement_table, unpack_placement_table
 from spokeroute.register.cells import EMPTY, Cell
 from spokeroute.register.changes import Ask
 from spokeroute.register.claims import Win
@@ -31,8 +31,8 @@
     def decide(self, version: int, value: bytes) -> bytes | None:
         if not value:
             return None
-        floor = unpack_floor(value)
-        return pack_floor(replace(floor, sequence=floor.sequence + 1))
+        floor = unpack_placement_table(value)
+        return pack_placement_table(replace(floor, sequence=floor.sequence + 1))
 
 
 @dataclass
--- a/tests/sim/cluster.py
+++ b/tests/sim/cluster.py
@@ -124,7 +124,7 @@
         while True:
             for node in self.registries:
                 if node.alive and not node.frozen:
-                    floor = node.state("placement").floor
+                    floor = node.state("placement").placements
                     if (floor.term, floor.sequence) not in seen:
                         seen.add((floor.term, floor.sequence))
                         self.floors.append((self.env.now, floor.term, floor))
--- a/tests/test_asleep.py
+++ b/tests/test_asleep.py
@@ -21,7 +21,7 @@
 )
 from spokeroute.dispatch.configuration.configuration import Service, Table
 from spokeroute.dispatch.configuration.models import Programs, Thresholds
-from spokeroute.dispatch.placement.table import DRAINING, STARTING, UP, Floor, Placed
+from spokeroute.dispatch.placement.table import DRAINING, STARTING, UP, Placed, PlacementTable
 from spokeroute.dispatch.placement.workbook import Pass, Seen
 from spokeroute.dispatch.scaling.scaler import Demand, WorkerSeat
 from spokeroute.dispatch.scaling.scaling import asleep, scale
@@ -79,7 +79,7 @@
     service: Service, demand: Demand | None, aim_ms: int, state: str
 ) -> None:
     instances = (placed(state),) if state else ()
-    work = Pass(Floor(Term(1), 1, instances), seen_of(service, demand, aim_ms))
+    work = Pass(PlacementTable(Term(1), 1, instances), seen_of(service, demand, aim_ms))
     if not asleep(work, service):
         return
     before = dict(work.now)
@@ -90,12 +90,12 @@
 def test_who_is_called_or_kept_is_not_asleep() -> None:
     quick = Service("s", 128, 1, start_ms=200, idle_ms=3_000, spares=0)
     idle, called = Demand(), Demand(last_arrival_ms=NOW_MS)
-    floor = Floor(Term(1), 1, ())
+    floor = PlacementTable(Term(1), 1, ())
     assert asleep(Pass(floor, seen_of(quick, idle, 0)), quick)
     assert not asleep(Pass(floor, seen_of(quick, called, 0)), quick)
     kept = replace(quick, min_instances=1)
     assert not asleep(Pass(floor, seen_of(kept, idle, 0)), kept)
     slow = replace(quick, start_ms=1_400)
     assert not asleep(Pass(floor, seen_of(slow, idle, 300)), slow)
-    full = Pass(Floor(Term(1), 1, (placed(DRAINING),)), seen_of(quick, idle, 0))
+    full = Pass(PlacementTable(Term(1), 1, (placed(DRAINING),)), seen_of(quick, idle, 0))
     assert not asleep(full, quick)
--- a/tests/test_cut_off_role.py
+++ b/tests/test_cut_off_role.py
@@ -36,7 +36,7 @@
 
 
 def drains(holder: Node) -> bool:
-    return any(p.state == "draining" for p in holder.state("placement").floor.instances)
+    return any(p.state == "draining" for p in holder.state("placement").placements.instances)
 
 
 def alone_with_the_role(each: Cut, way: str, for_ms: float) -> tuple[Node, float, int]:
@@ -78,22 +78,22 @@
     assert not [f for at_ms, t, f in sim.floors if at_ms > first_ms and t <= term]
     sim.net.cuts.clear()
     sim.run(3_000)
-    assert holder.state("placement").floor.term > term
+    assert holder.state("placement").placements.term > term
     assert judges.vanished_get_nothing(sim.log()) == []
 
 
 def endless(monkeypatch: pytest.MonkeyPatch) -> None:
     """The planted fault: a lease without end, and a floor that counts as known although a write
     of it failed. Either check alone keeps a cut-off holder from the platform."""
-    honest = placement._floor_settled
+    honest = placement._placements_settled
 
     def kept(state, outcome, *rest):  # type: ignore[no-untyped-def]
         if outcome != Outcome.DONE:
-            return replace(state, floor_op=""), ()
+            return replace(state, placements_op_id=""), ()
         return honest(state, outcome, *rest)
 
     monkeypatch.setattr(role, "TERM_LEASE_MS", 10**9)
-    monkeypatch.setattr(placement, "_floor_settled", kept)
+    monkeypatch.setattr(placement, "_placements_settled", kept)
 
 
 @ONE
--- a/tests/test_own_names.py
+++ b/tests/test_own_names.py
@@ -17,7 +17,13 @@
     build_table,
     pack_configuration,
 )
-from spokeroute.dispatch.placement.table import STARTING, UP, Floor, Placed, pack_floor
+from spokeroute.dispatch.placement.table import (
+    STARTING,
+    UP,
+    Placed,
+    PlacementTable,
+    pack_placement_table,
+)
 from spokeroute.exchange import holder
 from spokeroute.exchange.connect import Connect, ConnectDone
 from spokeroute.exchange.entry import HeldNow
@@ -161,7 +167,13 @@
     booting = placed("a", "w1", state=STARTING, warm=True, routed=False, limit=1, identity="i-1")
     state = holder.State(NodeId("ex1"), 1)
     now_ms = Ms(1_000)
-    fresh = Fresh(now_ms, {}, {"floor": pack_floor(Floor(Term(1), 1, (booting,)))}, TABLE, True)
+    fresh = Fresh(
+        now_ms,
+        {},
+        {"floor": pack_placement_table(PlacementTable(Term(1), 1, (booting,)))},
+        TABLE,
+        True,
+    )
     state, _ = holder.step(state, fresh, now_ms)
     forwards = [
         Forward(f"c{i}.0", "s", "a", 1, "GET", "/x", (), b"", wait_ms, "")
--- a/tests/test_patches.py
+++ b/tests/test_patches.py
@@ -28,7 +28,13 @@
     read_configuration,
 )
 from spokeroute.dispatch.configuration.value import pack_configuration, unpack_configuration
-from spokeroute.dispatch.placement.table import UP, Floor, Placed, pack_floor, unpack_floor
+from spokeroute.dispatch.placement.table import (
+    UP,
+    Placed,
+    PlacementTable,
+    pack_placement_table,
+    unpack_placement_table,
+)
 from spokeroute.register.acceptor.earlier_values import KEPT_BYTES, KEPT_VALUES, EarlierValues
 from spokeroute.register.cells import digest_of
 from spokeroute.register.packed import pack
@@ -53,7 +59,7 @@
 
 def table(sequence: int, changed: int = 0) -> bytes:
     rows = tuple(placed(number, "draining" if number < changed else UP) for number in range(600))
-    return pack_floor(Floor(Term(3), sequence, rows))
+    return pack_placement_table(PlacementTable(Term(3), sequence, rows))
 
 
 def copy_of(name: str, value: bytes) -> Copy:
@@ -71,7 +77,7 @@
     patch = patched(FLOOR, base, value)
     assert apply_patch(patch, base) == value
     assert len(patch.runs) < len(value) / 15
-    assert unpack_floor(value).instances[0].state == "draining"
+    assert unpack_placement_table(value).instances[0].state == "draining"
 
 
 def configured(number: int, timeout_ms: int) -> bytes:
@@ -119,7 +125,7 @@
 def test_nothing_is_patched_where_the_whole_is_shorter_or_packed_otherwise() -> None:
     base = table(1)
     assert make_patch("d", base, copy_of(FLOOR, b""), b"") is None
-    few = pack_floor(Floor(Term(3), 2, (placed(900),)))
+    few = pack_placement_table(PlacementTable(Term(3), 2, (placed(900),)))
     assert make_patch("d", base, copy_of(FLOOR, few), few) is None
     assert make_patch("d", b"{}", copy_of("roster", b"[]"), b"[]") is None
     otherwise = NUMBER.pack(3) + configured(3, 4_000)[NUMBER.size :] + b"tail"
@@ -152,13 +158,13 @@
 
 def test_a_table_reads_back_and_what_did_not_change_is_the_same_object() -> None:
     for count in (0, 1, 600):
-        floor = Floor(Term(3), 9, tuple(placed(number) for number in range(count)))
-        assert unpack_floor(pack_floor(floor)) == floor
-    before, after = unpack_floor(table(1)), unpack_floor(table(2, changed=10))
+        floor = PlacementTable(Term(3), 9, tuple(placed(number) for number in range(count)))
+        assert unpack_placement_table(pack_placement_table(floor)) == floor
+    before, after = unpack_placement_table(table(1)), unpack_placement_table(table(2, changed=10))
     same = sum(1 for a, b in zip(before.instances, after.instances, strict=True) if a is b)
     assert same == 590 and before.instances[3] != after.instances[3]
 
 
 def test_a_table_that_was_packed_in_one_line_is_read_as_well() -> None:
     rows = [[getattr(placed(1), field.name) for field in fields(Placed)]]
-    assert unpack_floor(pack(json.dumps([3, 9, rows]).encode())).instances == (placed(1),)
+    assert unpack_placement_table(pack(json.dumps([3, 9, rows]).encode())).instances == (placed(1),)
--- a/tools/store_size.py
+++ b/tools/store_size.py
@@ -35,7 +35,7 @@
     pack_configuration,
     read_configuration,
 )
-from spokeroute.dispatch.placement.table import Floor, Placed, pack_floor
+from spokeroute.dispatch.placement.table import Placed, PlacementTable, pack_placement_table
 from spokeroute.register.cells import Cell, Roster, digest_of
 from spokeroute.register.claims import Claim, pack
 from spokeroute.register.disk.disk import Disk
@@ -120,7 +120,7 @@
         at = rng.randrange(len(instances))
         instances[at] = table_of(functions, 1 / functions, rng)[0]
         if change % 10 == 1:
-            table = pack_floor(Floor(Term(1), change, tuple(instances)))
+            table = pack_placement_table(PlacementTable(Term(1), change, tuple(instances)))
         cells: dict[str, bytes] = {
             CONFIGURATION: configurations[change % 4] + b"",
             FLOOR: table,
