--- a/tests/test_accept_patches.py
+++ b/tests/test_accept_patches.py
@@ -1,4 +1,4 @@
-"""A member is asked to accept a placement table as a patch of the one before, where it has that."""
+"""Accept requests send a placement table as a patch to members that have the previous one."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def asked(promised: dict[str, bytes]) -> dict[str, object]:
-    """What members are asked by a proposer that knows the old table, after these promises."""
+    """The requests that a proposer which knows the old table sends after these promises."""
     state = proposer.start(ME, 7, ROSTER, 1)
     copy = Copy(FLOOR, 4, digest_of(OLD), 4, "m1")
     state = replace(state, known_values=with_known_value(state.known_values, copy, OLD))
@@ -52,13 +52,13 @@
     return out
 
 
-def test_who_promised_with_the_table_before_gets_a_patch() -> None:
+def test_a_member_with_the_previous_table_gets_a_patch() -> None:
     sent = asked({"m2": OLD, "m1": OLD})
     assert isinstance(sent["m2"], AcceptPatch) and isinstance(sent["m3"], AcceptPatch)
-    assert isinstance(sent["m1"], Accept)  # itself: nothing goes over a link
+    assert isinstance(sent["m1"], Accept)  # sent to itself, so the size does not matter
 
 
-def test_who_promised_with_another_value_gets_the_whole_one() -> None:
+def test_a_member_with_another_value_gets_the_full_value() -> None:
     sent = asked({"m2": ELSE, "m1": OLD})
     whole = sent["m2"]
     assert isinstance(whole, Accept) and whole.value == NEW
@@ -76,7 +76,7 @@
     return AcceptPatch(1, patch)
 
 
-def test_a_member_accepts_the_value_that_the_patch_makes() -> None:
+def test_a_member_accepts_the_patched_value() -> None:
     event = From(NodeId("m1"), Incarnation(1), patch_ask())
     state, effects = acceptor.step(member(OLD), event, Ms(5))
     assert state.cells[FLOOR].value == NEW
@@ -89,7 +89,7 @@
     assert state.cells[FLOOR].value == ELSE and effects == ()
 
 
-def test_a_patch_that_makes_another_value_is_not_accepted() -> None:
+def test_a_patch_with_a_wrong_result_digest_is_not_accepted() -> None:
     ask = patch_ask()
     wrong = replace(ask, patch=replace(ask.patch, copy=replace(ask.patch.copy, digest="0" * 64)))
     assert expand_accept(member(OLD), wrong) is None
@@ -102,17 +102,17 @@
     made.close()
 
 
-def test_tables_cross_as_patches_and_the_cluster_serves(cluster: Sim) -> None:
-    """Also while members come and go: each ends with the newest table, and accepts go whole only
-    to who lacks the one before."""
+def test_tables_are_sent_as_patches_in_a_running_cluster(cluster: Sim) -> None:
+    """Also while members restart: each ends with the newest table, and full accept requests go
+    only to members that lack the previous one."""
     seen: list[object] = []
-    honest = cluster.net._carry
+    original = cluster.net._carry
 
     def carried(sender: Node, address: Address, frame: bytes) -> Steps:
         message = decode(frame).message
         if isinstance(message, AcceptPatch):
             seen.append(message)
-        return honest(sender, address, frame)
+        return original(sender, address, frame)
 
     cluster.net._carry = carried  # type: ignore[method-assign]
     cluster.settle()
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""Failures of the core and of whole groups of machines, caused in the simulated cluster."""
+"""Failures of core nodes and of whole groups of machines, injected in the simulated cluster."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 
 @EACH
 def test_disk_lost_right_after_an_ack(sim: Sim) -> None:
-    """A blank disk joins by a roster change, catches up before it votes, and then another
-    disk is lost: what was acknowledged reads back."""
+    """Guards against losing an acknowledged configuration when two disks are lost in turn: each
+    blank replacement joins by a roster change and catches up before it votes."""
     sim.settle()
     told = sim.apply(configuration(name="kept"), registry=0)
     assert sim.up_to(lambda: told.status == 200, 3_000)
@@ -34,9 +34,11 @@
 
 
 @EACH
-def test_all_machines_swapped(sim: Sim) -> None:
-    """Each registry is replaced by a new machine with a new address and a blank disk; the
-    old seeds are dead at the end, and an exchange that starts then finds its way."""
+def test_all_registry_machines_replaced(sim: Sim) -> None:
+    """Each registry is replaced by a machine with a new address and a blank disk.
+
+    The old seeds are dead at the end, and an exchange that starts then still finds the core.
+    """
     sim.settle()
     sim.traffic(30, 60_000)
     old = list(sim.registries)
@@ -44,7 +46,7 @@
         node.kill()
         node.machine_up = False
         new = Node(sim, f"new{i + 1}", "registry", node.zone, f"10.0.7.{i + 1}:1", False)
-        # Seeds must name processes that are there: the next core nodes and an exchange.
+        # Seeds must name running processes: the next core nodes and an exchange.
         new.seeds = [old[(i + 1) % 3].address, sim.registries[0].address, "10.1.0.1:1"]
         sim.registries[i] = new
         new.start()
@@ -54,7 +56,7 @@
         assert sim.up_to(lambda t=told: t.status == 200, 8_000)  # type: ignore[misc]
     sim.run(3_000)
     old[0].machine_up = True
-    old[0].start()  # it comes back, and is not let in
+    old[0].start()  # the replaced member comes back and must not be admitted
     sim.run(4_000)
     assert not old[0].state("acceptor").synced_votes
     sim.exchanges[2].kill()
@@ -68,9 +70,10 @@
 
 
 @EACH
-def test_a_disk_lost_beside_a_cut_replaces_the_lost_one(sim: Sim) -> None:
-    """Seen by the random search: a member behind a cut was replaced instead of the lost one,
-    and the newcomer found too few old members to copy from."""
+def test_a_disk_lost_during_a_partition_is_the_one_replaced(sim: Sim) -> None:
+    """Guards against replacing the wrong member: a partitioned one was replaced instead of the
+    lost one, which left the new member too few old members to copy from. Found by random search.
+    """
     sim.settle()
     sim.net.cuts |= {("reg1", "reg2"), ("reg2", "reg1")}
     sim.registries[2].kill()
@@ -123,7 +126,7 @@
 
 @EACH
 def test_zone_lost_and_back(sim: Sim) -> None:
-    """A registry, an exchange and two workers go at once, and come back."""
+    """A registry, an exchange and two workers fail together and come back."""
     sim.settle()
     sim.traffic(50, 40_000)
     sim.run(3_000)
@@ -148,8 +151,8 @@
 
 
 @EACH
-def test_core_cut_in_two(sim: Sim) -> None:
-    """The side without a majority refuses; nothing runs by its tables."""
+def test_core_partition(sim: Sim) -> None:
+    """The side without a majority refuses orders, and no call runs by its stale tables."""
     sim.settle()
     sim.traffic(40, 20_000)
     sim.run(2_000)
@@ -166,7 +169,7 @@
     sim.run(10_000)
     shown = sim.show()
     clean(sim)
-    # 504 binds nothing, and 503 promises that nothing was done; a newer version wins.
+    # 504 leaves the outcome open, 503 promises that nothing was done; a newer version wins.
     assert shown.doc["version"] >= told.doc["version"]
     late = lone.status == 504 and shown.doc["version"] > told.doc["version"]
     assert shown.doc["configuration"]["name"] == ("lone-side" if late else "majority-side")
@@ -189,8 +192,8 @@
 @EACH
 @pytest.mark.parametrize("sync_ms", [250.0, 600.0])
 def test_two_slow_disks_still_acknowledge(sim: Sim, sync_ms: float) -> None:
-    """Seen by the random search: where a majority needs a slow disk, each round was begun anew
-    before its answers could come, and nothing was ever written."""
+    """Guards against a livelock: where a majority includes a slow disk, each round was restarted
+    before its answers could arrive, and nothing was ever written. Found by random search."""
     sim.settle()
     sim.traffic(30, 12_000)
     for node in sim.registries[:2]:
@@ -203,11 +206,11 @@
 
 
 @EACH
-def test_a_herd_after_an_evacuation_starts_nothing_there(sim: Sim) -> None:
-    """Seen by the random search: starts that the floor still had in an evacuated zone were
-    asked for again when everything was back."""
+def test_a_full_restart_after_an_evacuation_starts_nothing_in_that_zone(sim: Sim) -> None:
+    """Guards against starts in an evacuated zone: those that the placement table still listed
+    there were requested again after a full restart. Found by random search."""
     sim.settle()
-    sim.platform.cap_per_s = 0  # what is asked for stays on the floor as starting
+    sim.platform.cap_per_s = 0  # requested starts stay in the placement table as starting
     many = configuration(name="many")
     for number in range(12):
         many["services"].append({"name": f"rare-{number}", "memoryMb": 128, "limit": 1,
@@ -228,9 +231,9 @@
 
 
 @EACH
-def test_the_last_zone_stays(sim: Sim) -> None:
-    """All three are asked for at once, at three registries: two are emptied, one asker is told
-    clearly why not, and calls are served."""
+def test_the_last_zone_is_not_evacuated(sim: Sim) -> None:
+    """All three zones are evacuated at once through three registries: two succeed, one request is
+    refused with the reason, and calls are still served."""
     sim.settle()
     sim.traffic(30, 16_000)
     told = [sim.evacuate(x, True, i) for i, x in enumerate(("north", "centre", "south"))]
@@ -246,9 +249,10 @@
 
 
 @EACH
-def test_an_outage_of_the_core_fences_nobody(sim: Sim) -> None:
-    """Two registries away for 8 s: no exchange has a proof, and none is deaf for that. When the
-    first is back, the third, which knew all reports, takes the role at once and fences nothing."""
+def test_a_core_outage_fences_no_exchange(sim: Sim) -> None:
+    """Guards against fencing exchanges after a core outage. Two registries are down for 8 s, so no
+    exchange has a proof, but all are reachable. When the first registry is back, the third, which
+    has all reports, takes the role at once and must fence nothing."""
     sim.settle()
     sim.traffic(40, 22_000)
     sim.run(2_000)
@@ -266,8 +270,8 @@
 
 @EACH
 def test_full_disk_and_one_way_cuts(sim: Sim) -> None:
-    """A member whose disk refuses writes stops voting; the others go on. Then exchanges are
-    heard by the core but don't hear it, and the other way round."""
+    """A member whose disk refuses writes stops voting and the others continue. Then one exchange
+    can send to the core but not receive from it, and another one the reverse."""
     sim.settle()
     sim.traffic(40, 24_000)
     disk = sim.registries[0].disk
@@ -293,7 +297,7 @@
 
 
 def test_no_decision_looks_at_a_wall_clock() -> None:
-    """Clocks may jump by hours: only the monotonic clock is ever read."""
+    """Wall clocks may jump by hours, so the code reads only the monotonic clock."""
     for path in (Path(__file__).parent.parent / "spokeroute").rglob("*.py"):
         text = path.read_text()
         assert not re.search(r"time\.time\(|datetime|time\.time_ns|CLOCK_REALTIME", text), path
@@ -301,8 +305,8 @@
 
 @EACH
 def test_evacuations_and_applies_at_once(sim: Sim) -> None:
-    """A zone is emptied and restored again and again, through any registry, beside applies
-    and beside the fall of a worker elsewhere."""
+    """A zone is repeatedly evacuated and restored through any registry, during applies and the
+    crash of a worker in another zone."""
     sim.settle()
     sim.traffic(40, 40_000)
     for number in range(4):
--- a/tests/test_bad_store.py
+++ b/tests/test_corrupted_store.py
@@ -1,5 +1,5 @@
-"""Stores and frames that are not what they should be: refused by name, and nothing of them in
-force; no process ends by them."""
+"""Corrupted stores and forged frames: refused with a clear error, without effect and without ending
+the process."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def written(folder: Path) -> Loaded:
-    """A store with two registers and a roster; what it then holds."""
+    """Write a store with two registers and a roster, and return its contents."""
     disk = Disk(folder, 16)
     disk.load()
     ballot = Ballot(7, MemberId("m1"))
@@ -76,8 +76,8 @@
     disk.close()
 
 
-def test_a_ballot_that_changed_on_the_disk_is_damage(tmp_path: Path) -> None:
-    """A promise that reads back lower would be forgotten: heads have a checksum of their own."""
+def test_a_changed_ballot_on_disk_is_detected(tmp_path: Path) -> None:
+    """A promise that reads back lower would be broken, so cell headers have their own checksum."""
     written(tmp_path)
     disk = Disk(tmp_path, 16)
     with disk.env.begin(write=True) as txn:
@@ -88,7 +88,7 @@
     disk.close()
 
 
-def test_a_roster_that_changed_on_the_disk_is_damage(tmp_path: Path) -> None:
+def test_a_changed_roster_on_disk_is_detected(tmp_path: Path) -> None:
     written(tmp_path)
     forged = pack_roster(Roster(Epoch(9), ROSTER.members))
     meta_put(tmp_path, b"roster", b"\0\0\0\0" + forged)
@@ -112,7 +112,7 @@
 
 
 def test_damaged_pages_are_refused_or_harmless(tmp_path: Path) -> None:
-    """Bytes of any page changed: the store is refused by name, or reads as it was."""
+    """Changed bytes in any page: the store is refused with an error, or reads back unchanged."""
     written(tmp_path / "good")
     image = (tmp_path / "good" / "data.mdb").read_bytes()
     rng = random.Random(3)
@@ -135,7 +135,7 @@
 
 
 def forged(sim: Sim, messages: list[Any], life: int = 1) -> None:
-    """Frames of a member that the others know, to a registry."""
+    """Send frames to a registry in the name of a known member."""
     there, sender = sim.registries[0], sim.registries[1]
     assert sender.process is not None and there.process is not None
     for message in messages:
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -1,8 +1,8 @@
-"""What a real lmdb environment keeps when the power goes between any two steps of a sync.
+"""Durability of a real lmdb environment when power is lost between any two steps of a sync.
 
-lmdb writes data pages, syncs them, then writes and syncs one meta page. So of a write, any part
-of the data pages may have reached the disk while the meta page is the old one, or all of them
-and the meta page, old or new.
+lmdb writes and syncs data pages, then writes and syncs one meta page. After a power loss either
+any subset of the data pages is on disk with the old meta page, or all of them are, with the old or
+the new meta page.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 def mixed(before: bytes, after: bytes, there: set[int]) -> bytes:
-    """The old image with some of the new one's pages; the file's length may be the new one."""
+    """The old image with some pages of the new one; it may be as long as the new one."""
     old, new = pages(before), pages(after)
     blank = b"\0" * PAGE
     longest = max((i + 1 for i in there), default=len(old))
@@ -44,7 +44,7 @@
 
 
 def reopened(folder: Path, image: bytes) -> tuple[Loaded, list[str]]:
-    """The disk as a restarted machine finds it."""
+    """The contents of the disk after a restart of the machine."""
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir()
     (folder / "data.mdb").write_bytes(image)
@@ -95,8 +95,8 @@
     disk.close()
 
 
-def test_the_test_sees_a_page_that_was_not_synced(tmp_path: Path) -> None:
-    """Planted: were the meta page to reach the disk without all of its data, it would show."""
+def test_an_unsynced_page_is_detected_by_these_checks(tmp_path: Path) -> None:
+    """Injected fault: the meta page reaches the disk without one of its data pages."""
     disk = Disk(tmp_path / "live", 16)
     member = disk.load().member
     path = tmp_path / "live" / "data.mdb"
@@ -113,17 +113,17 @@
         reopened(tmp_path / "crashed", mixed(before, after, there))
 
 
-def test_a_new_disks_folder_entries_are_synced_before_it_is_a_member(
+def test_directory_entries_of_a_new_store_are_synced(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """lmdb syncs the file; that the file is in its folder, and the folder in its own, is ours
-    to sync before anything is acknowledged."""
+    """lmdb syncs only the file. The directory entries of the file and of its new parent folders
+    must be synced before anything is acknowledged."""
     synced: list[int] = []
-    honest = os.fsync
+    original = os.fsync
 
     def fsync(fd: int) -> None:
         synced.append(os.fstat(fd).st_ino)
-        honest(fd)
+        original(fd)
 
     monkeypatch.setattr(os, "fsync", fsync)
     disk = Disk(tmp_path / "a" / "b", 16)
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -1,4 +1,4 @@
-"""What a process says of itself when something goes wrong: its traffic, and why it has no proof."""
+"""Diagnostics that a process logs when something goes wrong: traffic, and why it has no proof."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from tests.sim.world import Node
 
 
-def test_the_kinds_that_carry_most_are_told_first() -> None:
+def test_the_message_kinds_with_most_traffic_are_listed_first() -> None:
     counter = TrafficCounter()
     for kind, size_bytes in (("Probe", 100), ("ProbeAck", 50_000), ("Probe", 100)):
         counter.count(kind, size_bytes)
@@ -36,7 +36,7 @@
     return [text for _, name, text in sim.notes if name == node.name and "proof" in text]
 
 
-def test_a_proof_that_is_overdue_is_said_once_and_so_is_the_next_one(sim: Sim) -> None:
+def test_an_overdue_proof_and_the_next_proof_are_each_logged_once(sim: Sim) -> None:
     sim.settle()
     lone = sim.exchanges[0]
     sim.net.cuts |= {(each.name, lone.name) for each in sim.registries}
@@ -48,7 +48,7 @@
     assert "proof again after" in alarms(sim, lone)[-1] and len(alarms(sim, lone)) == 2
 
 
-def test_a_value_that_is_missing_is_named(sim: Sim) -> None:
+def test_a_missing_value_is_named(sim: Sim) -> None:
     sim.settle()
     state = sim.exchanges[0].state("replica")
     here = state.here[FLOOR].copy.version
@@ -67,7 +67,7 @@
 
 
 class Clock:
-    """The clocks that figures are reckoned by."""
+    """The clocks used for figures."""
 
     def __init__(self) -> None:
         self.now_s, self.used_s = 100.0, 1.0
@@ -80,7 +80,7 @@
 
 
 def figures_at(monkeypatch: pytest.MonkeyPatch, clock: Clock) -> tuple[Figures, list[str]]:
-    """Figures on a clock of the test's own, and what was written out as an alarm."""
+    """Figures on the test's clock, and the lines logged as alarms."""
     monkeypatch.setattr(figures, "time", clock)
     written: list[str] = []
     ring = SimpleNamespace(note=lambda text, alarm: written.append(text) if alarm else None)
@@ -90,7 +90,7 @@
     return made, written
 
 
-def test_a_loop_that_stalls_writes_its_figures_out_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_stalled_loop_logs_its_figures_once(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = Clock()
     made, written = figures_at(monkeypatch, clock)
     made.compiled.count(0.3)
@@ -102,7 +102,7 @@
     assert "beat_ms=2000 cores=0.250 compiled=1 in 300ms" in written[0]
 
 
-def test_beats_in_time_write_nothing_out(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_ticks_on_time_log_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = Clock()
     made, written = figures_at(monkeypatch, clock)
     for _ in range(500):
@@ -111,7 +111,7 @@
     assert written == []
 
 
-def test_an_answer_to_a_question_that_is_not_kept_is_counted_and_told(sim: Sim) -> None:
+def test_a_reply_to_a_forgotten_probe_is_counted_and_reported(sim: Sim) -> None:
     sim.settle()
     node = sim.exchanges[0]
     state = node.state("replica")
@@ -123,7 +123,7 @@
     assert f"late_answers={before + 1}" in proof_text(after, node.now_ms())
 
 
-def test_the_figures_tell_how_old_the_proof_is(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_figures_include_the_age_of_the_proof(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = Clock()
     made, written = figures_at(monkeypatch, clock)
     made.proof = lambda: "proof_ms=70"
--- a/tests/test_known_values.py
+++ b/tests/test_known_values.py
@@ -1,4 +1,4 @@
-"""Promises leave out the value that their proposer has, and no other."""
+"""Promises omit a value only if the proposer already has it."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
 
 
 def watched(sim: Sim) -> list[Promise]:
-    """The promises for the configuration that the network carries from now on."""
+    """Record the promises for the configuration register that cross the network from now on."""
     seen: list[Promise] = []
-    honest = sim.net._carry
+    original = sim.net._carry
 
     def carried(sender: Node, address: Address, frame: bytes) -> Steps:
         message = decode(frame).message
         if isinstance(message, Promise) and message.name == CONFIGURATION and message.ok:
             seen.append(message)
-        return honest(sender, address, frame)
+        return original(sender, address, frame)
 
     sim.net._carry = carried  # type: ignore[method-assign]
     return seen
@@ -55,7 +55,7 @@
     sim.run(200)
 
 
-def test_a_proposer_is_not_sent_the_value_that_it_wrote(core: Sim) -> None:
+def test_promises_omit_the_value_that_the_proposer_wrote(core: Sim) -> None:
     applied(core, 1, "first")
     seen = watched(core)
     applied(core, 1, "second")
@@ -64,7 +64,7 @@
     assert all(each.accepted.digest for each in mine)
 
 
-def test_a_proposer_that_has_another_value_is_sent_the_newest(core: Sim) -> None:
+def test_promises_include_the_newest_value_if_the_proposer_has_another(core: Sim) -> None:
     applied(core, 1, "first")
     applied(core, 2, "second")
     seen = watched(core)
@@ -78,7 +78,7 @@
     assert shown.doc["configuration"]["name"] == "third"
 
 
-def test_a_value_that_was_left_out_is_filled_in_only_by_its_digest() -> None:
+def test_an_omitted_value_is_restored_only_if_its_digest_matches() -> None:
     copy = Copy(CONFIGURATION, 3, "d3", 3, "m1")
     known = with_known_value(Map(), copy, b"three")
     assert known_digest(known, CONFIGURATION) == "d3"
--- a/tests/test_numbers.py
+++ b/tests/test_numbers.py
@@ -1,4 +1,4 @@
-"""One number means one content: by the parts, and on whole simulated clusters."""
+"""A configuration number is bound to one content: unit tests, and tests on simulated clusters."""
 
 from __future__ import annotations
 
@@ -68,12 +68,12 @@
 
 
 def ready(sim: Sim) -> None:
-    """A core that votes; these tests need no instances."""
+    """Start the core and wait until it votes; these tests need no instances."""
     sim.start()
     assert sim.up_to(lambda: voting(sim), 8_000)
 
 
-# by its parts
+# unit tests
 
 
 def asked(effects: Effects) -> Ask:
@@ -105,8 +105,8 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.DONE, Outcome.UNSURE])
 def test_other_content_is_refused_and_nothing_is_written(outcome: Outcome) -> None:
-    """Also where our binding was offered and another stands: a number is bound once, so what
-    stands was never ours."""
+    """Also if our binding was proposed and another one is stored: a binding is permanent, so ours
+    was never chosen."""
     state, effects = operator.step(operator.State("m1"), order("b"), Ms(0))
     state, effects = settle(state, asked(effects), b"a", outcome=outcome)
     read = asked(effects)
@@ -125,7 +125,7 @@
         assert [e.answer.status for e in effects if isinstance(e, Reply)] == [status]
 
 
-def test_an_order_that_was_overtaken_after_its_offer_is_acknowledged() -> None:
+def test_an_order_overtaken_after_its_proposal_is_acknowledged() -> None:
     state, effects = operator.step(operator.State("m1"), order("a"), Ms(0))
     state, effects = settle(state, asked(effects), b"a")
     state, effects = settle(state, asked(effects), NUMBER.pack(80), 9, Outcome.UNSURE)
@@ -135,15 +135,17 @@
     assert [e.answer.status for e in effects if isinstance(e, Reply)] == [200]
 
 
-# ageing
+# expiry
 
 
-def kept(state: acceptor.State) -> list[str]:
+def kept_numbers(state: acceptor.State) -> list[str]:
     return sorted(n for n in state.cells if is_number(n))
 
 
-def aged(numbers: int, in_force: int, wait_ms: int = NUMBER_KEEP_MS + 20_000) -> acceptor.State:
-    """A member with cells of so many numbers, after its ageing came round twice."""
+def member_after_expiry(
+    numbers: int, in_force: int, wait_ms: int = NUMBER_KEEP_MS + 20_000
+) -> acceptor.State:
+    """A member with this many number registers, after two expiry runs."""
     cell = Cell(Ballot(1, MemberId("m1")), Ballot(1, MemberId("m1")), 1, "d", b"c")
     cells: Map[str, Cell] = Map({str(number_register(n)): cell for n in range(1, numbers + 1)})
     state = acceptor.start(MemberId("m1"), None, True, cells)
@@ -155,21 +157,24 @@
 
 
 def test_a_member_keeps_the_newest_numbers() -> None:
-    state = aged(NUMBERS_KEPT + 5, NUMBERS_KEPT + 5)
-    assert kept(state) == [number_register(n) for n in range(6, NUMBERS_KEPT + 6)]
+    state = member_after_expiry(NUMBERS_KEPT + 5, NUMBERS_KEPT + 5)
+    assert kept_numbers(state) == [number_register(n) for n in range(6, NUMBERS_KEPT + 6)]
     assert state.writing is not None and len(state.writing.deletions) == 5
-    assert len(kept(aged(NUMBERS_KEPT, NUMBERS_KEPT))) == NUMBERS_KEPT
+    assert len(kept_numbers(member_after_expiry(NUMBERS_KEPT, NUMBERS_KEPT))) == NUMBERS_KEPT
 
 
-def test_no_number_at_or_above_the_one_in_force_is_let_go() -> None:
-    """Thousands were bound above it and never came in force."""
-    assert kept(aged(NUMBERS_KEPT + 5, 3))[0] == number_register(3)
-    assert kept(aged(NUMBERS_KEPT + 5, 0))[0] == number_register(1)
+def test_no_number_at_or_above_the_one_in_force_expires() -> None:
+    """Even if thousands above it were bound and never came in force."""
+    assert kept_numbers(member_after_expiry(NUMBERS_KEPT + 5, 3))[0] == number_register(3)
+    assert kept_numbers(member_after_expiry(NUMBERS_KEPT + 5, 0))[0] == number_register(1)
 
 
-def test_a_number_that_a_round_is_at_is_not_let_go() -> None:
-    assert len(kept(aged(NUMBERS_KEPT + 5, 9_000, NUMBER_KEEP_MS - 10))) == NUMBERS_KEPT + 5
-    cells = aged(NUMBERS_KEPT + 5, 9_000, 10).cells
+def test_a_number_with_a_recent_round_does_not_expire() -> None:
+    assert (
+        len(kept_numbers(member_after_expiry(NUMBERS_KEPT + 5, 9_000, NUMBER_KEEP_MS - 10)))
+        == NUMBERS_KEPT + 5
+    )
+    cells = member_after_expiry(NUMBERS_KEPT + 5, 9_000, 10).cells
     roster = Roster(Epoch(1), ((MemberId("m1"), Address("10.0.0.1:1")),))
     state = acceptor.start(MemberId("m1"), roster, True, cells)
     state, _ = acceptor.step(state, Fresh(Ms(0), {}, {}, None, True, number=9_000), Ms(0))
@@ -177,12 +182,12 @@
     late = Prepare(1, number_register(2), 9, "m2")
     state, _ = acceptor.step(state, From(NodeId("m2"), Incarnation(1), late), Ms(70_000))
     state, _ = acceptor.step(state, Tick(0), Ms(90_000))
-    assert kept(state)[:2] == [number_register(2), number_register(6)]
+    assert kept_numbers(state)[:2] == [number_register(2), number_register(6)]
 
 
-def test_a_register_that_is_back_before_its_drop_was_written_stays_on_disk() -> None:
-    """A drop waits behind a sync; a promise for the same register that comes meanwhile goes into
-    the same batch, and was deleted by it."""
+def test_a_register_recreated_before_its_deletion_was_written_stays_on_disk() -> None:
+    """Guards against deleting a live register: a deletion waits for a sync, a promise for the same
+    register joins its batch in the meantime, and the batch then deleted the register."""
     roster = Roster(Epoch(1), ((MemberId("m1"), Address("10.0.0.1:1")),))
     state = acceptor.start(MemberId("m1"), roster, True, Map({"claim/k": Cell()}))
 
@@ -193,7 +198,7 @@
         return effects
 
     state, _ = acceptor.step(state, Tick(0), Ms(0))
-    prepare("floor", CLAIM_RETENTION_MS)  # a sync is under way
+    prepare("floor", CLAIM_RETENTION_MS)  # a sync is in progress
     state, _ = acceptor.step(state, Tick(0), Ms(CLAIM_RETENTION_MS + 10_000))
     assert "claim/k" not in state.cells
     prepare("claim/k", CLAIM_RETENTION_MS + 10_001)
@@ -217,7 +222,7 @@
     assert in_force(sim) == {"name": "seventy", "number": 70}
 
 
-def test_a_lower_number_is_acknowledged_and_alters_nothing(sim: Sim) -> None:
+def test_a_lower_number_is_acknowledged_and_changes_nothing(sim: Sim) -> None:
     ready(sim)
     first = sent(sim, "seventy", 70)
     lower = sent(sim, "sixty", 60, 1)
@@ -229,7 +234,7 @@
 
 
 def test_the_same_content_is_acknowledged_hundreds_of_versions_later(sim: Sim) -> None:
-    """At any member, after restarts of all, and after every member was replaced."""
+    """At any member, after a restart of all and after replacement of every member."""
     ready(sim)
     assert sent(sim, "first", 7).status == 200
     for number in range(10, 310):
@@ -276,9 +281,9 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
-def test_two_contents_at_once_over_a_cut(seed: int) -> None:
-    """One member is cut off from the two others; the cut heals while both orders are open, or
-    after the cut-off side gave up. Orders are sent again until they have a clear answer."""
+def test_two_contents_at_once_during_a_partition(seed: int) -> None:
+    """One member is partitioned from the others. The partition heals while both orders are open or
+    after the isolated side has given up. Orders are resent until they have a clear answer."""
     sim = Sim(seed, exchanges=1)
     ready(sim)
     rng = random.Random(seed)
@@ -306,7 +311,7 @@
 
 
 def clear(sim: Sim, told: Told, registry: int) -> int:
-    """The order's clear answer: it is sent again, unchanged, until there is one."""
+    """Resend the order unchanged until it has a clear answer, and return that."""
     for _ in range(12):
         wait(sim, told)
         if told.status in (200, 409):
@@ -318,7 +323,7 @@
 
 @pytest.mark.parametrize("seed", range(1, 13))
 def test_a_proposer_that_dies_between_the_two_rounds(seed: int) -> None:
-    """The number stays with its first content, whose order goes on at any other member."""
+    """The number stays bound to its first content, whose order can finish at any other member."""
     sim = Sim(seed, exchanges=1, sync_ms=2.0)
     ready(sim)
     assert sent(sim, "one", 1).status == 200
@@ -337,9 +342,9 @@
     sim.close()
 
 
-def test_a_storm_with_lost_answers(sim: Sim) -> None:
-    """300 numbers, each under two contents, sent again and again to any member, before and after
-    an answer, with members that fall: one content is confirmed for each number."""
+def test_many_concurrent_orders_with_lost_answers(sim: Sim) -> None:
+    """300 numbers with two contents each, resent to any member before and after an answer while
+    members crash: exactly one content is confirmed for each number."""
     ready(sim)
     rng = random.Random(5)
     orders = [(f"{number} {who}", number) for number in range(1, 301) for who in "ab"]
@@ -362,8 +367,10 @@
     assert in_force(sim)["number"] == 300
 
 
-def test_the_judge_speaks_of_two_contents(sim: Sim, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Planted: whoever binds last has the number."""
+def test_the_judge_detects_two_contents_under_one_number(
+    sim: Sim, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Injected fault: the last binding of a number wins."""
     monkeypatch.setattr(Bind, "decide", lambda self, version, value: self.content.encode())
     ready(sim)
     assert [sent(sim, name, 70, 1).status for name in ("a", "b")] == [200, 200]
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Operators' orders that are sent again, late, twice, cut short or written wrongly."""
+"""Operator orders that are resent, late, duplicated, truncated or malformed."""
 
 from __future__ import annotations
 
@@ -44,11 +44,11 @@
 __all__ = ["adapter"]
 
 
-# applies with an id of their sender's
+# applies with a sender's id
 
 
-def test_an_apply_that_is_sent_again_gets_its_first_outcome(sim: Sim) -> None:
-    """At any member, also when other versions came since, and after restarts."""
+def test_a_resent_apply_gets_its_first_outcome(sim: Sim) -> None:
+    """At any member, also after newer versions and after restarts."""
     ready(sim)
     first = wait(sim, sim.apply(named("first"), 0, 0, order_id="a-1"))
     assert (first.status, first.doc["version"]) == (200, 1)
@@ -69,9 +69,9 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
-def test_an_apply_whose_member_dies_is_made_once(seed: int) -> None:
-    """Sent again to another member while the first one's rounds may still be under way; and
-    another operator's apply comes between."""
+def test_an_apply_whose_member_dies_is_applied_once(seed: int) -> None:
+    """The apply is resent to another member while the first one's rounds may be in progress, and
+    once more after another operator's apply."""
     sim = Sim(seed, exchanges=1, sync_ms=2.0)
     ready(sim)
     assert wait(sim, sim.apply(named("one"))).status == 200
@@ -99,8 +99,8 @@
     assert ApplyOnce(70, "a69", "c", NUMBER.pack(0)).decide(70, value) is None
 
 
-def test_an_unnumbered_apply_leaves_the_number(sim: Sim) -> None:
-    """An old order under a lower number, sent again after it, alters nothing."""
+def test_an_unnumbered_apply_keeps_the_number(sim: Sim) -> None:
+    """A resent order with a lower number changes nothing afterwards."""
     assert number_of(stamped(NUMBER.pack(0) + b"x", NUMBER.pack(70) + b"y")) == 70
     ready(sim)
     assert sent(sim, "sixty", 60).status == 200
@@ -118,7 +118,7 @@
 
 
 def test_an_evacuation_sent_again_does_not_undo_a_later_restore(sim: Sim) -> None:
-    """Where its sender gave it an id: also one that changed nothing when it came first."""
+    """With a sender's id; also an order that changed nothing the first time."""
     ready(sim)
     for order_id in ("e-1", "e-2"):
         assert wait(sim, sim.evacuate("north", True, 0, order_id)).status == 200
@@ -130,22 +130,22 @@
     assert wait(sim, sim.evacuate("north", False, 2, "r-1")).doc["evacuated"] == ["north"]
 
 
-def test_without_an_id_the_last_order_to_arrive_stands(sim: Sim) -> None:
-    """What the order says is all there is to know it by."""
+def test_without_an_id_the_last_order_to_arrive_wins(sim: Sim) -> None:
+    """Without an id a resent order can't be told from a new one."""
     ready(sim)
     for out, evacuated in ((True, ["north"]), (False, []), (True, ["north"])):
         assert wait(sim, sim.evacuate("north", out)).doc["evacuated"] == evacuated
 
 
-def test_a_mark_is_made_once_by_its_own_member_too() -> None:
-    """Its round was overtaken and is asked anew: a restore may have come since."""
+def test_a_retried_evacuation_mark_is_applied_once() -> None:
+    """The round was overtaken and is retried; a restore may have come in between."""
     mark = Mark("north", True, (), "e-1")
     value = mark.decide(0, b"") or b""
     value = Mark("north", False, (), "r-1").decide(1, value) or b""
     assert unpack_evacuated(value) == frozenset() and mark.decide(2, value) is None
 
 
-def test_the_form_of_before_is_read() -> None:
+def test_the_previous_format_is_read() -> None:
     assert unpack_evacuated(b'["north"]') == {"north"}
     assert unpack_evacuated(pack_evacuated(frozenset({"a"}), (Made("x", 1),))) == {"a"}
 
@@ -167,7 +167,7 @@
         assert b"Spokeroute-Apply-Id: a-1" in server.requests[0]
 
 
-def test_the_client_never_says_refused_of_an_order_whose_answer_was_lost() -> None:
+def test_the_client_does_not_report_a_refusal_after_a_lost_answer() -> None:
     first, second = Scripted([b""]), Scripted([said(503)])
     got = ask(Where(f"{first.address},{second.address}"), "PUT", "/x", b"{}", until_clear=True)
     assert isinstance(got, Unreached) and "may have been taken" in got.reason
@@ -183,7 +183,7 @@
 
 
 class Recorder:
-    """An operator API that only notes what would be applied."""
+    """An operator API that only records what would be applied."""
 
     def __init__(self) -> None:
         self.applied: list[int] = []
@@ -222,7 +222,7 @@
     assert status == 400 and doc["remedy"] and not applied
 
 
-def test_a_document_with_the_highest_number_is_taken() -> None:
+def test_a_document_with_the_highest_number_is_accepted() -> None:
     assert put(json.dumps(document(version=MAX_NUMBER)).encode())[2] == [MAX_NUMBER]
 
 
@@ -233,8 +233,8 @@
         (["moon"], False), (["north", ""], False), ("north", False), ([7], False), ({}, False),
     ],
 )  # fmt: skip
-def test_regions_of_a_route_are_taken_if_they_are_there(regions: Any, taken: bool) -> None:
-    """The platform writes an empty list where a route may run anywhere."""
+def test_regions_of_a_route_are_accepted_if_they_exist(regions: Any, taken: bool) -> None:
+    """The platform sends an empty list for a route that may run anywhere."""
     doc = document()
     doc["routes"][0]["allowed-regions"] = regions
     status, said, applied = put(json.dumps(doc).encode())
@@ -251,14 +251,16 @@
         ('"cold-start-s": 0.0', '"cold-start-s": NaN'),
     ],
 )
-def test_a_document_with_doubled_fields_or_no_numbers_is_refused(change: tuple[str, str]) -> None:
+def test_a_document_with_duplicate_fields_or_non_finite_numbers_is_refused(
+    change: tuple[str, str],
+) -> None:
     text = json.dumps(document())
     assert change[0] in text
     status, doc, applied = put(text.replace(*change).encode())
     assert status == 400 and doc["remedy"] and not applied
 
 
-def test_a_document_that_ends_early_is_refused() -> None:
+def test_a_truncated_document_is_refused() -> None:
     whole = json.dumps(document()).encode()
     for size in range(0, len(whole), 37):
         status, doc, applied = put(whole[:size])
@@ -266,13 +268,13 @@
     assert put(b"[" * 100_000)[0] == 400 and put(b"\xff\xfe")[0] == 400
 
 
-def test_a_configuration_with_doubled_fields_is_refused() -> None:
+def test_a_configuration_with_duplicate_fields_is_refused() -> None:
     text = json.dumps(named("a"))
     got = read_configuration(text.replace('"zones"', '"zones": [], "zones"').encode(), ())
     assert isinstance(got, tuple) and "'zones' stands twice" in got[0].reason
 
 
-def test_blanks_and_the_order_of_fields_are_no_other_content() -> None:
+def test_whitespace_and_field_order_do_not_change_the_content() -> None:
     got = read_configuration(json.dumps(named("a")).encode(), ())
     assert isinstance(got, Configuration)
     assert content_of(got, '{"a": 1, "b": 2}') == content_of(got, '{"b":2,"a":1}')
@@ -307,8 +309,8 @@
 
 
 @pytest.fixture
-def door() -> Iterator[tuple[tuple[str, int], list[str]]]:
-    """A listening operator's edge, and the methods of the requests that reached its app."""
+def operator_server() -> Iterator[tuple[tuple[str, int], list[str]]]:
+    """A listening operator server, and the methods of the requests that reached its application."""
     reached: list[str] = []
 
     def app(environ: dict[str, Any], start: Any) -> Any:
@@ -327,10 +329,10 @@
 @pytest.mark.parametrize(
     "start", [b"PUT /x HTTP/1.1\r\nHost: a\r\nContent-Length: 100\r\n\r\n{}", b"PUT /x HT"]
 )
-def test_a_request_that_ends_early_reaches_nobody(
-    door: tuple[tuple[str, int], list[str]], start: bytes
+def test_a_truncated_request_does_not_reach_the_application(
+    operator_server: tuple[tuple[str, int], list[str]], start: bytes
 ) -> None:
-    address, reached = door
+    address, reached = operator_server
     with socket.create_connection(address, timeout=10) as sock:
         sock.sendall(start)
         sock.shutdown(socket.SHUT_WR)
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -1,4 +1,4 @@
-"""What a member answers, keeps and says while its store takes no writes."""
+"""A member's replies, state and reports while its store refuses writes."""
 
 from __future__ import annotations
 
@@ -75,7 +75,7 @@
 
 @pytest.fixture
 def failed() -> acceptor.State:
-    """A member whose write of a newer value failed, with another waiting behind it."""
+    """A member whose write of a newer value failed while another one was waiting."""
     state = acceptor.start(ME, ROSTER, True, Map({NAME: OLD}))
     state, effects = acceptor.step(state, accept(5, b"new"), Ms(1_000))
     assert [type(job) for job in jobs(effects)] == [DiskWrite] and sent(effects) == []
@@ -87,7 +87,7 @@
     return state
 
 
-def test_reads_are_answered_from_what_is_synced(failed: acceptor.State) -> None:
+def test_reads_are_answered_from_synced_state(failed: acceptor.State) -> None:
     state, effects = acceptor.step(
         failed, peer(Probe(9, 3, (), (), (), (), False, (), -1)), Ms(1_010)
     )
@@ -117,7 +117,7 @@
         assert (state, effects) == (failed, ()), event
 
 
-def test_the_pauses_grow_to_a_bound_and_begin_anew(failed: acceptor.State) -> None:
+def test_the_reopen_pause_grows_to_a_limit_and_resets(failed: acceptor.State) -> None:
     state, now_ms, pauses = failed, 1_005, []
     for _ in range(5):
         asked_ms = now_ms
@@ -132,7 +132,7 @@
     assert pauses == [200, 400, 800, 1_000, 1_000]
     state, _ = acceptor.step(state, Tick(), Ms(now_ms + 1_000))
     state, _ = acceptor.step(state, StoreReopened(ROSTER, True, Map({NAME: OLD})), Ms(now_ms))
-    assert state.pause_ms == 400  # no write was taken since
+    assert state.pause_ms == 400  # no write has succeeded since
     state, effects = acceptor.step(state, accept(5, b"new"), Ms(now_ms))
     (write,) = jobs(effects)
     assert isinstance(write, DiskWrite)
@@ -142,7 +142,7 @@
     assert isinstance(said, Accepted) and said.ok and said.counter == 5
 
 
-def test_a_roster_of_the_failed_batch_that_is_there_is_told(failed: acceptor.State) -> None:
+def test_a_roster_found_in_the_failed_batch_is_reported(failed: acceptor.State) -> None:
     newer = Roster(Epoch(4), ROSTER.members)
     state, _ = acceptor.step(failed, Tick(), Ms(2_000))
     new = replace(OLD, value=b"new", version=8, digest=digest_of(b"new"))
@@ -152,8 +152,9 @@
     assert not state.failed and state.epoch == 4 and state.synced[NAME] == new
 
 
-def test_what_was_never_voted_with_is_not_copied_from() -> None:
-    """A vote that is not synced yet makes no member whole: its cells may not be synced either."""
+def test_a_member_that_never_voted_is_not_copied_from() -> None:
+    """Until its vote is synced a member's cells may not be synced either, so others must not copy
+    from it."""
     state = acceptor.start(ME, ROSTER, False, Map({NAME: OLD}))
     state, effects = acceptor.step(state, Adopt(ROSTER, True), Ms(1))
     (write,) = jobs(effects)
@@ -167,13 +168,13 @@
 
 @dataclass
 class Store:
-    """What a member's disk holds, and what the member has answered."""
+    """The contents of a member's disk, and the replies that the member has sent."""
 
     cells: dict[str, Cell] = field(default_factory=dict)
     answers: list[Promise | Accepted] = field(default_factory=list)
 
     def covers(self, answer: Promise | Accepted) -> bool:
-        """Whether the disk holds what was answered."""
+        """Whether the disk covers a reply."""
         ballot = Ballot(answer.counter, MemberId(answer.member))
         cell = self.cells[NAME]
         if isinstance(answer, Promise):
@@ -186,8 +187,8 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(ACTS, st.integers(5, 12)), max_size=40))
-def test_an_answer_is_never_given_for_what_the_disk_lacks(acts: list[tuple[str, int]]) -> None:
-    """Any order of asks, syncs, failures (the batch there or not) and reopens."""
+def test_no_reply_is_sent_for_unsynced_state(acts: list[tuple[str, int]]) -> None:
+    """Any order of requests, syncs, reopens and failures, with the batch on disk or not."""
     store = Store({NAME: OLD})
     state = acceptor.start(ME, ROSTER, True, Map(store.cells))
     for number, (act, counter) in enumerate(acts):
@@ -220,7 +221,7 @@
     return state, [job for job in jobs(effects) if isinstance(job, LedgerWrite)]
 
 
-def test_own_entries_that_were_refused_are_written_before_later_ones_count() -> None:
+def test_own_refused_entries_are_rewritten_before_later_ones_count() -> None:
     state = ledger.State(NodeId(ME), "m0.1")
     state, (first,) = beat(entered(state, 3), 1_000)
     low, high = first.entries[0][0], first.entries[-1][0]
@@ -251,7 +252,7 @@
     assert not state.gaps
 
 
-def test_a_gap_whose_writer_let_go_of_it_is_passed_over_in_the_end() -> None:
+def test_a_gap_whose_writer_discarded_the_entries_is_skipped_eventually() -> None:
     state = ledger.State(NodeId(ME), "m0.1", (OTHER,))
     state, _ = ledger.step(state, LedgerFailed("k1", "k2", OTHER), Ms(2))
     given: list[object] = []
--- a/tests/test_patches.py
+++ b/tests/test_patches.py
@@ -1,4 +1,4 @@
-"""Patches between versions of the large registers: small, exact, dropped where they don't fit."""
+"""Patches between versions of large registers: small, exact, rejected if they don't apply."""
 
 from __future__ import annotations
 
@@ -92,7 +92,7 @@
 
 
 def test_a_change_of_one_route_takes_a_fraction_of_the_configuration() -> None:
-    """Also with the orders that are remembered behind it, and the number before it."""
+    """Also with the recorded orders that follow the configuration and the number before it."""
     base = stamped(configured(7, 4_000), b"", Made("order-7", 1, "c1"))
     value = stamped(configured(9, 5_000), base, Made("order-9", 2, "c2"))
     patch = patched(CONFIGURATION, base, value)
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize("damage", ["base", "runs", "head", "digest", "name"])
-def test_a_patch_that_does_not_fit_brings_nothing(damage: str) -> None:
+def test_a_patch_that_does_not_apply_is_rejected(damage: str) -> None:
     base, value = table(1), table(2, changed=3)
     patch = patched(FLOOR, base, value)
     other = table(3, changed=5)
@@ -126,7 +126,7 @@
     assert apply_patch(patch, other) is None
 
 
-def test_nothing_is_patched_where_the_whole_is_shorter_or_packed_otherwise() -> None:
+def test_no_patch_where_the_full_value_is_shorter_or_packed_differently() -> None:
     base = table(1)
     assert make_patch("d", base, copy_of(FLOOR, b""), b"") is None
     few = pack_placement_table(PlacementTable(Term(3), 2, (placed(900),)))
@@ -138,7 +138,7 @@
 
 
 @given(LINES, LINES)
-def test_runs_make_the_target_of_any_base(base: list[bytes], target: list[bytes]) -> None:
+def test_runs_produce_the_target_from_any_base(base: list[bytes], target: list[bytes]) -> None:
     old, new = b"".join(base), b"".join(target)
     lines = old.splitlines(keepends=True)
     made = b"".join(
@@ -147,7 +147,7 @@
     assert made == new
 
 
-def test_earlier_values_are_bounded_by_count_and_by_bytes() -> None:
+def test_recent_values_are_bounded_by_count_and_by_bytes() -> None:
     kept = RecentValues()
     for number in range(3 * MAX_RECENT_VALUES):
         kept = kept.with_value(FLOOR, str(number), b"value")
@@ -169,6 +169,6 @@
     assert same == 590 and before.instances[3] != after.instances[3]
 
 
-def test_a_table_that_was_packed_in_one_line_is_read_as_well() -> None:
+def test_a_table_packed_on_one_line_is_read() -> None:
     rows = [[getattr(placed(1), field.name) for field in fields(Placed)]]
     assert unpack_placement_table(pack(json.dumps([3, 9, rows]).encode())).instances == (placed(1),)
--- a/tests/test_platform_executor.py
+++ b/tests/test_platform_executor.py
@@ -1,4 +1,4 @@
-"""The edge towards the platform, and the product's own contract, over real sockets."""
+"""The platform executor and the HTTP platform contract, over real sockets."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Faulty:
-    """A client that breaks its promise not to raise."""
+    """A client that raises, although the contract forbids it."""
 
     def list(self) -> PlatformListed:
         raise ValueError("no such page")
@@ -52,28 +52,28 @@
     assert not listing.ok and "no such page" in listing.reason
 
 
-def test_no_call_after_the_lease() -> None:
+def test_no_platform_call_after_the_lease_expires() -> None:
     assert reported(Faulty(), job("start", good_for_ms=0)).outcome == "late"
 
 
 @pytest.mark.parametrize(
     ("status", "outcome"), [(202, "ok"), (429, "refused"), (409, "failed"), (500, "failed")]
 )
-def test_the_products_own_contract_names_instances_by_our_id(status: int, outcome: str) -> None:
+def test_the_http_contract_names_instances_by_our_id(status: int, outcome: str) -> None:
     server = Scripted([f"HTTP/1.1 {status} X\r\nContent-Length: 0\r\n\r\n".encode()])
     done = HttpPlatform(server.address).call(job("start"))
     assert done.outcome == outcome
     assert done.identity == ("readings-1-2-1" if outcome == "ok" else "")
 
 
-def test_a_stop_goes_by_identity_and_falls_back_to_our_id() -> None:
+def test_a_stop_uses_the_identity_or_else_our_id() -> None:
     for identity, path in (("i-7", b"/instances/i-7 "), ("", b"/instances/readings-1-2-1 ")):
         server = Scripted([b"HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n"])
         assert HttpPlatform(server.address).call(job("stop", identity)).outcome == "ok"
         assert path in server.requests[0]
 
 
-def test_a_connect_says_reached_refused_or_neither() -> None:
+def test_a_connect_reports_reached_refused_or_neither() -> None:
     server = socket.create_server(("127.0.0.1", 0))
     address = Address(f"127.0.0.1:{server.getsockname()[1]}")
     got: queue.Queue[ConnectDone] = queue.Queue()
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -1,4 +1,4 @@
-"""Registers by their parts: rounds that are overtaken, and what lmdb keeps of a lost power."""
+"""Registers: overtaken rounds, and keyed calls on repeatable routes."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
     return From(NodeId(member), Incarnation(1), said)
 
 
-def test_an_offer_that_was_overtaken_is_unsure_not_refused() -> None:
-    """Our offer may have been chosen and then changed by another: to say "conflict, nothing
-    done" would be false, so the outcome is unsure."""
+def test_an_overtaken_proposal_has_an_unknown_outcome() -> None:
+    """Our proposal may have been chosen and then replaced by another one, so "conflict, nothing
+    done" would be false. The outcome is unknown."""
     state = proposer.State(MEMBERS[0], 1, ROSTER)
     state, effects = proposer.step(state, Ask("op", "configuration", Swap(0, b"ours"), "op"), Ms(0))
     prepare = next(e.message for e in effects if isinstance(e, Send))
@@ -34,7 +34,7 @@
     assert any(isinstance(e, Send) and isinstance(e.message, Accept) for e in effects)
     now_ms = 0
     again: list[Prepare] = []
-    while not again:  # no acceptance is heard of; the round begins anew
+    while not again:  # no acceptance arrives and the round restarts
         now_ms += 20
         state, effects = proposer.step(state, Tick(0), Ms(now_ms))
         again = [
@@ -48,8 +48,8 @@
     assert [t.outcome for t in told] == [Outcome.UNSURE]
 
 
-def test_a_key_on_a_repeatable_route_is_once_too(sim: Sim) -> None:
-    """Its caller named it; answers that are lost are not sent on to a successor."""
+def test_a_keyed_call_on_a_repeatable_route_runs_once(sim: Sim) -> None:
+    """The caller gave the call a key, so after a lost answer it is not sent to a successor."""
     sim.settle()
     sim.run(11_000)
     for server in sim.platform.servers.values():
--- a/tests/test_slow_claims.py
+++ b/tests/test_slow_claims.py
@@ -1,7 +1,10 @@
-"""Disks took 300 ms a sync, so a claim's two rounds took longer than the 300 ms after which an
-entry asked another member. That one began a round of its own on the same register and stopped the
-first, whose answer would have been thrown away besides. So each call had 28 rounds begun, none was
-won, and all 120 of 120 keyed calls ended after 5 s with "no_core", though each member answered."""
+"""Guards against a livelock of claims on slow disks.
+
+With 300 ms a sync, the two rounds of a claim took longer than the 300 ms after which an entry asked
+another member. That member's round on the same register pre-empted the first one, whose answer
+would have been discarded anyway. 28 rounds were started for each call and none was won: all 120 of
+120 keyed calls failed after 5 s with "no_core", although every member answered.
+"""
 
 from __future__ import annotations
 
@@ -21,12 +24,12 @@
 CALLS = 60
 GAP_MS = 50.0
 WAIT_MS = 5_000
-ROUNDS = 2  # of a claim: promises and accepts
-CALM_MS = 1.0
+ROUNDS = 2  # of a claim: prepare and accept
+FAST_SYNC_MS = 1.0
 
 
 def keyed(seed: int, sync_ms: float) -> tuple[Counter[int], list[float]]:
-    """Statuses and times of keyed calls while each sync of the core's disks takes so long."""
+    """Statuses and durations of keyed calls while each sync of the core's disks takes this long."""
     sim = Sim(seed)
     sim.settle()
     for node in sim.registries:
@@ -43,13 +46,11 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-@pytest.mark.parametrize("sync_ms", [CALM_MS, 150.0, 300.0, 400.0])
-def test_keyed_calls_are_served_though_a_claim_takes_longer_than_usual(
-    seed: int, sync_ms: float
-) -> None:
+@pytest.mark.parametrize("sync_ms", [FAST_SYNC_MS, 150.0, 300.0, 400.0])
+def test_keyed_calls_are_served_although_claims_are_slow(seed: int, sync_ms: float) -> None:
     statuses, took_ms = keyed(seed, sync_ms)
     assert statuses[200] == CALLS, statuses
-    # Two rounds, each behind a sync that is under way; and the first retries, until it is learned.
+    # Two rounds, each behind a sync in progress, and early retries until the time is learned.
     assert took_ms[len(took_ms) // 2] <= 2 * ROUNDS * sync_ms + 300, took_ms[len(took_ms) // 2]
 
 
@@ -62,7 +63,7 @@
 
 
 def claiming(sim: Sim) -> State:
-    """An entry's state with one keyed call that waits for its claim."""
+    """The state of an entry with one keyed call that waits for its claim."""
     sim.call("/corrections", sim.exchanges[0], key="k", wait_ms=20_000)
     for _ in range(100):
         state: State = sim.exchanges[0].state("calls")
@@ -83,7 +84,7 @@
 
 
 def waited(state: State, for_ms: int) -> tuple[State, list[tuple[int, ClaimAsk]]]:
-    """The state after a while without any answer, and what was asked when."""
+    """The state after a time without answers, and each request with its time."""
     from_ms = only(state).start_ms
     asked: list[tuple[int, ClaimAsk]] = []
     for after_ms in range(0, for_ms, 20):
@@ -98,24 +99,24 @@
     return calls.step(state, From(NodeId("reg1"), Incarnation(1), got), now_ms)
 
 
-def test_each_ask_without_an_answer_is_waited_for_twice_as_long(sim: Sim) -> None:
+def test_the_wait_doubles_after_each_unanswered_request(sim: Sim) -> None:
     _, asked = waited(claiming(sim), 6_500)
     assert [after_ms for after_ms, _ in asked] == [300, 900, 2_100, 4_100, 6_100]
 
 
-def test_a_claim_that_an_earlier_ask_won_counts(sim: Sim) -> None:
+def test_a_claim_won_by_an_earlier_request_counts(sim: Sim) -> None:
     state, _ = waited(claiming(sim), 1_000)
     call = only(state)
     now_ms = Ms(call.start_ms + 1_000)
     assert len(call.claim_asks) == 3
     state, effects = told(state, call.claim_asks[0].op_id, True, call.ask.call_id, now_ms)
     assert only(state).claimed and only(state).phase != Phase.CLAIMING
-    assert not state.op_of, "what was asked besides is forgotten"
+    assert not state.op_of, "the other requests are forgotten"
     assert not any(isinstance(each, Reply) for each in effects)
 
 
-def test_a_claim_that_an_earlier_ask_found_taken_is_not_the_last_word(sim: Sim) -> None:
-    """It may have been freed since, and won by the ask that is still open."""
+def test_an_earlier_request_that_lost_the_claim_is_not_final(sim: Sim) -> None:
+    """The claim may have been freed since and won by the request that is still open."""
     state, _ = waited(claiming(sim), 400)
     call = only(state)
     now_ms = Ms(call.start_ms + 400)
@@ -129,7 +130,7 @@
     assert not state.calls and not state.op_of
 
 
-def test_the_next_ask_waits_for_as_long_as_claims_took_lately(sim: Sim) -> None:
+def test_the_wait_adapts_to_recent_claim_times(sim: Sim) -> None:
     state, _ = waited(claiming(sim), 1_000)
     call = only(state)
     state, _ = told(
@@ -139,7 +140,7 @@
     assert state.claim_trip.smoothed_ms == 1_000
 
 
-def test_calls_that_wait_for_their_claims_are_no_line_at_an_instance(sim: Sim) -> None:
+def test_calls_that_wait_for_claims_are_not_counted_as_queued(sim: Sim) -> None:
     state = claiming(sim)
     service = only(state).service.name
     assert state.backlog.open[service].in_line == 0
--- a/tests/test_old_lives.py
+++ b/tests/test_stale_messages.py
@@ -1,4 +1,4 @@
-"""What an earlier life, term or epoch said counts for nothing, however late it comes."""
+"""Messages of an earlier incarnation, term or epoch are ignored, however late they arrive."""
 
 from __future__ import annotations
 
@@ -48,12 +48,12 @@
 LATE_MS = 10_000
 MEMBERS = tuple(MemberId(f"m{i}") for i in range(3))
 ROSTER = Roster(Epoch(1), tuple((m, Address(f"10.0.0.{i}:1")) for i, m in enumerate(MEMBERS)))
-LIFE = Incarnation(1)
+INCARNATION = Incarnation(1)
 
 
 @pytest.fixture
-def doubled(request: pytest.FixtureRequest) -> Iterator[Sim]:
-    """A cluster where each frame of the core comes a second time, ten seconds later."""
+def delayed_duplicates(request: pytest.FixtureRequest) -> Iterator[Sim]:
+    """A cluster where each frame of the core is delivered a second time, ten seconds later."""
     made = Sim(request.param)
     made.settle()
     made.net.again_ms = LATE_MS
@@ -67,14 +67,14 @@
 
 
 def read_often(sim: Sim) -> Generator[Any, Any, None]:
-    """Read-backs at whichever registry, a few a second."""
+    """Read-backs at random registries, a few per second."""
     while True:
         sim.show(sim.rng.randrange(3))
         yield sim.env.timeout(sim.rng.uniform(100, 400))
 
 
 def eventful(sim: Sim) -> None:
-    """Restarts, lost disks and freezes, with orders and read-backs between them."""
+    """Restarts, lost disks and freezes, with orders and read-backs in between."""
     rng = random.Random(4)
     sim.env.process(read_often(sim))
     sim.traffic(30, 60_000)
@@ -109,9 +109,9 @@
     sim.run(LATE_MS + 5_000)
 
 
-@pytest.mark.parametrize("doubled", [1, 2, 3], indirect=True)
-def test_late_frames_after_changes_of_life_term_and_epoch(doubled: Sim) -> None:
-    sim = doubled
+@pytest.mark.parametrize("delayed_duplicates", [1, 2, 3], indirect=True)
+def test_late_frames_after_changes_of_incarnation_term_and_epoch(delayed_duplicates: Sim) -> None:
+    sim = delayed_duplicates
     eventful(sim)
     log = sim.log()
     assert readback.acked_reads_back(log) == []
@@ -125,27 +125,32 @@
     assert terms == sorted(terms)
 
 
-@pytest.mark.parametrize("doubled", [1, 2, 4], indirect=True)
-def test_late_promises_that_count_are_found(doubled: Sim, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The planted fault: a promise of any ballot counts for the round that is open. (Promises bring
-    their values here: a late one without its value can't be filled in, and would do no harm.)"""
+@pytest.mark.parametrize("delayed_duplicates", [1, 2, 4], indirect=True)
+def test_these_checks_detect_late_promises_that_count(
+    delayed_duplicates: Sim, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Injected fault: a promise of any ballot counts for the open round.
+
+    Promises include their values here, because a late one without its value can't be restored and
+    would do no harm.
+    """
     monkeypatch.setattr(proposer, "known_digest", lambda known, name: "")
-    honest = proposer._on_promise
+    original = proposer._on_promise
 
-    def credulous(state, node, got, now_ms):  # type: ignore[no-untyped-def]
+    def accepting_any_ballot(state, node, got, now_ms):  # type: ignore[no-untyped-def]
         current = state.rounds.get(got.name)
         if current is not None:
             ballot = current.ballot
             got = replace(got, counter=ballot.counter, member=ballot.member)
-        return honest(state, node, got, now_ms)
+        return original(state, node, got, now_ms)
 
-    monkeypatch.setattr(proposer, "_on_promise", credulous)
+    monkeypatch.setattr(proposer, "_on_promise", accepting_any_ballot)
     with pytest.raises(AssertionError):
-        eventful(doubled)
-        assert readback.acked_reads_back(doubled.log()) == []
+        eventful(delayed_duplicates)
+        assert readback.acked_reads_back(delayed_duplicates.log()) == []
 
 
-# one by one
+# single messages
 
 
 def promise(ask: Prepare, version: int, value: bytes, counter: int, life: int) -> Promise:
@@ -166,69 +171,71 @@
     return [e.event for e in effects if isinstance(e, Tell) and isinstance(e.event, Settled)]
 
 
-def test_a_promise_to_an_earlier_life_makes_no_read() -> None:
-    """The same ballot, drawn again by a later life: the earlier one's promise names old values."""
+def test_a_promise_to_an_earlier_incarnation_is_ignored() -> None:
+    """If a later incarnation uses the same ballot, a promise to the earlier one has old values."""
     state = proposer.State(MEMBERS[0], 1, ROSTER, incarnation=2)
     state, effects = proposer.step(state, Ask("op", "configuration", Read(), "operator"), Ms(0))
     ask = prepare_of(effects)
     for member in MEMBERS[1:]:
-        late = From(NodeId(member), LIFE, promise(ask, 1, b"old", 1, 1))
+        late = From(NodeId(member), INCARNATION, promise(ask, 1, b"old", 1, 1))
         state, effects = proposer.step(state, late, Ms(3))
         assert settled(effects) == []
     for member in MEMBERS[1:]:
-        now = From(NodeId(member), LIFE, promise(ask, 2, b"new", 2, 2))
+        now = From(NodeId(member), INCARNATION, promise(ask, 2, b"new", 2, 2))
         state, effects = proposer.step(state, now, Ms(5))
     assert [s.value for s in settled(effects)] == [b"new"]
 
 
-def test_an_acceptance_to_an_earlier_life_acknowledges_nothing() -> None:
+def test_an_acceptance_to_an_earlier_incarnation_is_ignored() -> None:
     state = proposer.State(MEMBERS[0], 1, ROSTER, incarnation=2)
     state, effects = proposer.step(state, Ask("op", "floor", Swap(0, b"x"), "placement"), Ms(0))
     ask = prepare_of(effects)
     for member in MEMBERS[:2]:
-        said = From(NodeId(member), LIFE, promise(ask, 0, b"", 0, 2))
+        said = From(NodeId(member), INCARNATION, promise(ask, 0, b"", 0, 2))
         state, effects = proposer.step(state, said, Ms(3))
     for life, done in ((1, 0), (2, 1)):
         for member in MEMBERS[1:]:
             taken = Accepted(1, "floor", ask.counter, ask.member, True, ask.counter, life)
-            state, effects = proposer.step(state, From(NodeId(member), LIFE, taken), Ms(5))
+            state, effects = proposer.step(state, From(NodeId(member), INCARNATION, taken), Ms(5))
         assert len(settled(effects)) == done
 
 
 @pytest.mark.parametrize("epoch", [0, 1, 3])
-def test_a_promise_of_another_epoch_counts_for_nothing(epoch: int) -> None:
+def test_a_promise_of_another_epoch_is_ignored(epoch: int) -> None:
     roster = replace(ROSTER, epoch=Epoch(2))
     state = proposer.State(MEMBERS[0], 1, roster)
     state, effects = proposer.step(state, Ask("op", "floor", Read(), "operator"), Ms(0))
     ask = prepare_of(effects)
     for member in MEMBERS[1:]:
         other = replace(promise(ask, 1, b"old", 1, 0), epoch=epoch)
-        state, effects = proposer.step(state, From(NodeId(member), LIFE, other), Ms(3))
+        state, effects = proposer.step(state, From(NodeId(member), INCARNATION, other), Ms(3))
         assert settled(effects) == []
 
 
-def test_a_read_that_waits_in_line_has_a_round_of_its_own() -> None:
-    """Two reads never share a round: the second one's members answered after it came in."""
+def test_a_queued_read_has_a_round_of_its_own() -> None:
+    """Reads don't share a round: the answers to the second must come after it was requested."""
     state = proposer.State(MEMBERS[0], 1, ROSTER)
     state, effects = proposer.step(state, Ask("one", "floor", Read(), "operator"), Ms(0))
     first = prepare_of(effects)
     state, effects = proposer.step(state, Ask("two", "floor", Read(), "operator"), Ms(1))
     assert effects == ()
-    state, _ = proposer.step(state, From(MEMBERS[1], LIFE, promise(first, 1, b"a", 1, 0)), Ms(2))
+    state, _ = proposer.step(
+        state, From(MEMBERS[1], INCARNATION, promise(first, 1, b"a", 1, 0)), Ms(2)
+    )
     state, effects = proposer.step(
-        state, From(MEMBERS[2], LIFE, promise(first, 1, b"a", 1, 0)), Ms(3)
+        state, From(MEMBERS[2], INCARNATION, promise(first, 1, b"a", 1, 0)), Ms(3)
     )
     assert [s.op_id for s in settled(effects)] == ["one"]
     second = prepare_of(effects)
     assert second.counter > first.counter
-    for member in MEMBERS:  # what is late of the first round serves the second in nothing
-        late = From(NodeId(member), LIFE, promise(first, 1, b"a", 1, 0))
+    for member in MEMBERS:  # late promises of the first round don't count for the second
+        late = From(NodeId(member), INCARNATION, promise(first, 1, b"a", 1, 0))
         state, effects = proposer.step(state, late, Ms(4))
         assert settled(effects) == []
 
 
-def test_no_ballot_is_drawn_twice_in_a_life() -> None:
-    """Also of registers whose counters are forgotten between rounds: the role's and claims'."""
+def test_no_ballot_is_used_twice_in_an_incarnation() -> None:
+    """Also for registers whose counters are discarded between rounds: placement and claims."""
     state = proposer.State(MEMBERS[0], 1, ROSTER)
     drawn: list[tuple[str, int]] = []
     for number in range(40):
@@ -237,7 +244,7 @@
         ask = prepare_of(effects)
         drawn.append((name, ask.counter))
         for member in MEMBERS[1:]:
-            said = From(NodeId(member), LIFE, promise(ask, 1, b"v", 1, 0))
+            said = From(NodeId(member), INCARNATION, promise(ask, 1, b"v", 1, 0))
             state, effects = proposer.step(state, said, Ms(number))
         assert settled(effects)
     assert len(set(drawn)) == len(drawn)
@@ -248,8 +255,8 @@
     return ProbeAck(nonce, epoch, copies, (), ())
 
 
-def test_an_answer_to_an_earlier_lifes_probe_proves_nothing() -> None:
-    """Also one of another epoch. The same numbers as now would make a proof of old versions."""
+def test_a_reply_to_a_probe_of_an_earlier_incarnation_is_ignored() -> None:
+    """Also one of another epoch. With the nonces reused, it would be a proof of old versions."""
     lives = [replica.State((), ROSTER, nonce=first_nonce(life)) for life in (7, 8)]
     nonces: list[int] = []
     for state in lives:
@@ -264,26 +271,28 @@
     ):
         asked = state
         for member in MEMBERS[:2]:
-            asked, _ = replica.step(asked, From(member, LIFE, ack(nonce, 3, epoch)), Ms(1_010))
+            asked, _ = replica.step(
+                asked, From(member, INCARNATION, ack(nonce, 3, epoch)), Ms(1_010)
+            )
         assert (asked.target_ms == Ms(1_000)) == proves
 
 
-def test_a_ledger_acknowledgement_of_an_earlier_life_counts_for_nothing() -> None:
+def test_a_ledger_acknowledgement_of_an_earlier_incarnation_is_ignored() -> None:
     state = writer.State(NodeId("m0"), "m0.2", MEMBERS[1:])
     state, _ = writer.step(state, Record("term", {}, 1, term=5), Ms(0))
     key = state.unacked[0][0]
     old = key.replace("m0.2", "m0.1").replace("-0000000001-", "-0000000900-")
-    state, _ = writer.step(state, From(MEMBERS[1], LIFE, LedgerAck(old, old)), Ms(5))
+    state, _ = writer.step(state, From(MEMBERS[1], INCARNATION, LedgerAck(old, old)), Ms(5))
     assert state.acked == Map()
-    state, _ = writer.step(state, From(MEMBERS[1], LIFE, LedgerAck(key, key)), Ms(5))
+    state, _ = writer.step(state, From(MEMBERS[1], INCARNATION, LedgerAck(key, key)), Ms(5))
     assert state.acked == Map({MEMBERS[1]: key})
 
 
-def test_a_voting_member_takes_no_copied_cells() -> None:
-    """Its promises bind it: a copied acceptance below one would be taken behind its back."""
+def test_a_voting_member_imports_no_cells() -> None:
+    """A voting member is bound by its promises, and a copied acceptance may be below one."""
     state = acceptor.start(MEMBERS[0], ROSTER, True, Map())
     ask = Prepare(1, "floor", 9, "m1")
-    state, _ = acceptor.step(state, From(MEMBERS[1], LIFE, ask), Ms(0))
+    state, _ = acceptor.step(state, From(MEMBERS[1], INCARNATION, ask), Ms(0))
     old = CopyCell(1, "m2", Copy("floor", 1, digest_of(b"old"), 4, "m2"), b"old")
     state, _ = acceptor.step(state, acceptor.ImportCells((old,)), Ms(1))
     assert state.cells["floor"].version == 0
@@ -295,5 +304,5 @@
     value = b"forged"
     copy = Copy("floor", 1, digest_of(value), 9, "m1")
     for ask in (Prepare(epoch, "floor", 9, "m1"), Accept(epoch, copy, value)):
-        after, effects = acceptor.step(state, From(MEMBERS[1], LIFE, ask), Ms(0))
+        after, effects = acceptor.step(state, From(MEMBERS[1], INCARNATION, ask), Ms(0))
         assert effects == () and after.cells == Map()
--- a/tests/test_store_full.py
+++ b/tests/test_store_full.py
@@ -1,4 +1,4 @@
-"""A real store that takes no writes: what it has, what is said, and how it is opened anew."""
+"""A real store that refuses writes: its contents, the errors reported, and how it is reopened."""
 
 from __future__ import annotations
 
@@ -35,8 +35,7 @@
 
 
 class Refusing:
-    """An environment whose commits fail, as on a full disk: before anything of a batch is there,
-    or when all of it is."""
+    """An environment whose commits fail as on a full disk, with all or none of a batch written."""
 
     def __init__(self, env: lmdb.Environment, there: bool) -> None:
         self.env = env
@@ -51,8 +50,8 @@
         self.env.close()
 
 
-class Unstarted(Refusing):
-    """An environment that opens its tables, and takes no write."""
+class RefusingWrites(Refusing):
+    """An environment that opens its tables but refuses writes."""
 
     def __init__(self, env: lmdb.Environment) -> None:
         super().__init__(env, False)
@@ -62,7 +61,7 @@
 
 
 class RefusingTxn:
-    """A transaction of such an environment."""
+    """A transaction of an environment whose commits fail."""
 
     def __init__(self, txn: lmdb.Transaction, there: bool) -> None:
         self.txn = txn
@@ -81,25 +80,25 @@
 
 @pytest.fixture
 def store(tmp_path: Path) -> Iterator[tuple[Disk, str]]:
-    """An open store and its member."""
+    """An open store and its member id."""
     disk = Disk(tmp_path / "store", 16)
     yield disk, disk.load().member
     disk.close()
 
 
-def test_a_start_on_a_disk_that_is_full_waits_for_it(
+def test_start_on_a_full_disk_retries_until_a_write_succeeds(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Of a new folder and of a member's, before the store is open and when it counts the start;
-    no process ends for it, and the member stays who it is."""
-    honest, refusals = lmdb.open, [0]
+    """With a new and an existing folder, refused on opening and when the start is counted: the
+    process keeps retrying and the member id stays the same."""
+    original, refusals = lmdb.open, [0]
 
     def refusing(*args: Any, **options: Any) -> Any:
         refusals[0] += 1
         if refusals[0] % 3 == 1:
             raise lmdb.DiskError("No space left on device")
-        env = honest(*args, **options)
-        return env if refusals[0] % 3 == 0 else Unstarted(env)
+        env = original(*args, **options)
+        return env if refusals[0] % 3 == 0 else RefusingWrites(env)
 
     monkeypatch.setattr("spokeroute.register.disk.disk.lmdb.open", refusing)
     pauses: list[float] = []
@@ -124,7 +123,9 @@
 
 
 @pytest.mark.parametrize("there", [False, True])
-def test_a_failed_batch_is_there_wholly_or_not_at_all(store: tuple[Disk, str], there: bool) -> None:
+def test_a_failed_batch_is_on_disk_completely_or_not_at_all(
+    store: tuple[Disk, str], there: bool
+) -> None:
     disk, member = store
     disk.write(batch(1))
     disk.append((("k1", "{}"),), 1_000)
@@ -146,7 +147,7 @@
     again.close()
 
 
-def test_a_reopen_draws_no_member(store: tuple[Disk, str]) -> None:
+def test_a_reopen_generates_no_member_id(store: tuple[Disk, str]) -> None:
     disk, member = store
     with pytest.raises(DiskError, match="no longer that of member"):
         disk.reopen("m-another", 0)
@@ -167,8 +168,8 @@
             disk.reopen(member, 0)
 
 
-def test_the_edge_reports_in_the_order_of_its_jobs(store: tuple[Disk, str]) -> None:
-    """A ledger write that broke the environment has the registers' store opened anew too."""
+def test_the_disk_executor_reports_in_job_order(store: tuple[Disk, str]) -> None:
+    """A ledger write that breaks the environment also causes a reopen for the registers."""
     disk, member = store
     reports: list[tuple[str, object]] = []
     executor = DiskExecutor(disk, member, lambda actor, event: reports.append((actor, event)))
@@ -194,8 +195,8 @@
     assert isinstance(found, StoreReopened) and found.cells["configuration"].version == 1
 
 
-def test_the_ledger_is_read_while_the_store_is_opened_anew(store: tuple[Disk, str]) -> None:
-    """Readers of other threads get entries or are told to ask again; none meets a closed one."""
+def test_the_ledger_is_readable_while_the_store_is_reopened(store: tuple[Disk, str]) -> None:
+    """Readers on other threads get entries or are told to retry; none uses a closed environment."""
     disk, member = store
     entries = tuple((f"k{n:04d}", "{}") for n in range(500))
     disk.append(entries, 1_000)
@@ -222,7 +223,7 @@
     assert faults == []
 
 
-def test_the_ledger_is_asked_for_elsewhere_while_a_store_is_opened_anew(
+def test_a_ledger_request_during_a_reopen_is_referred_to_another_registry(
     store: tuple[Disk, str], sim: Sim, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     disk, _ = store
@@ -244,8 +245,8 @@
     assert [status[:3] for status in statuses] == ["200", "503"]
 
 
-def filled(disk: Disk) -> int:
-    """Write registers until the store is at its map size; how many there are."""
+def filled_to_map_size(disk: Disk) -> int:
+    """Write registers until the store is at its map size, and return their number."""
     rng = random.Random(3)
     for number in range(1, 10_000):
         try:
@@ -255,10 +256,10 @@
     raise AssertionError("the store takes more than its map size")
 
 
-def test_a_store_at_its_map_size_loses_nothing_and_says_so(tmp_path: Path) -> None:
+def test_a_full_store_keeps_all_registers_and_reports_the_limit(tmp_path: Path) -> None:
     disk = Disk(tmp_path / "small", SMALL_MB)
     member = disk.load().member
-    count = filled(disk)
+    count = filled_to_map_size(disk)
     assert count > 100
     with pytest.raises(DiskError, match="raise disk_mb"):
         disk.reopen(member, 50_000)
@@ -269,16 +270,16 @@
     larger.close()
 
 
-def test_registers_get_the_ledgers_room_when_the_store_is_full(tmp_path: Path) -> None:
-    """The ledger has its share; registers then fill the rest. Opened anew, the store lets go of
-    old entries, and takes the batch that it refused."""
+def test_a_full_store_drops_ledger_entries_for_registers(tmp_path: Path) -> None:
+    """The ledger uses its share and registers fill the rest. On reopening, the store drops old
+    ledger entries and then accepts the batch that it refused."""
     disk = Disk(tmp_path / "small", SMALL_MB)
     member = disk.load().member
     rng = random.Random(1)
     for number in range(200):
         disk.append(((f"{number:06d}", rng.randbytes(3_000).hex()),), 200_000)
     before = len(disk.entries("", 1_000))
-    count = filled(disk)
+    count = filled_to_map_size(disk)
     found = disk.reopen(member, 3_000)
     assert len(found.cells) == count
     disk.write(batch(count + 1, f"claim/{count + 1}", rng.randbytes(3_000)))
@@ -287,7 +288,7 @@
     disk.close()
 
 
-def test_registers_are_written_on_while_the_ledger_has_its_share(tmp_path: Path) -> None:
+def test_registers_are_written_while_the_ledger_uses_its_share(tmp_path: Path) -> None:
     disk = Disk(tmp_path / "small", SMALL_MB)
     disk.load()
     rng = random.Random(2)
@@ -334,8 +335,8 @@
 """
 
 
-def test_a_file_that_may_not_grow_and_then_may(tmp_path: Path) -> None:
-    """Writes of a real process that the system refuses, at three sizes of the file."""
+def test_writes_fail_at_a_file_size_limit_and_recover(tmp_path: Path) -> None:
+    """The system refuses the writes of a real process, at three file size limits."""
     got = subprocess.run(
         [sys.executable, "-c", LIMITED, str(tmp_path / "store")],
         capture_output=True, timeout=60, check=True, text=True,
