--- a/spokeroute/common/switches.py
+++ b/spokeroute/common/switches.py
@@ -28,16 +28,18 @@
 
     lone_spare: bool = True
     """A spare beside a single instance whose boot does not fit its aim
-    (``dispatch/scaling/scaling.py``)."""
+    (``dispatch/scaling/service_scaling.py``)."""
     warm_for_short_aims: bool = True
-    """One instance is kept where a boot does not fit the aim (``dispatch/scaling/scaling.py``)."""
+    """One instance is kept where a boot does not fit the aim
+    (``dispatch/scaling/service_scaling.py``)."""
     idle_prediction: bool = True
     """How long an idle instance is kept follows the usual time between calls
     (``dispatch/placement/reports.py``)."""
     bounded_growth: bool = True
-    """A service at most doubles, plus some, at once (``dispatch/scaling/scaling.py``)."""
+    """A service at most doubles, plus some, at once (``dispatch/scaling/service_scaling.py``)."""
     room_for_sleepers: bool = True
-    """Memory is kept free for services that have no instance (``dispatch/scaling/scaling.py``)."""
+    """Memory is kept free for services that have no instance
+    (``dispatch/scaling/service_scaling.py``)."""
     lasting_demand: bool = True
     """Only what is still there at the next sample makes a service grow
     (``dispatch/placement/reports.py``)."""
@@ -53,11 +55,11 @@
     """LAAF's lists choose the successor (``exchange/entry.py``)."""
     accumulated_utilization: bool = True
     """LAAF adds a function's load to the expected utilization of its successor
-    (``dispatch/flare/steering.py``)."""
+    (``dispatch/flare/ranking.py``)."""
     near_first: bool = True
     """Instances of the own zone, then region, go before others (``nodes.py``)."""
     load_shifts: bool = True
-    """ROME shifts load off overloaded workers (``dispatch/flare/steering.py``)."""
+    """ROME shifts load off overloaded workers (``dispatch/flare/ranking.py``)."""
     compile_rests: bool = True
     """A rest follows each compilation of a configuration
     (``register/replica/compile_queue.py``)."""
--- a/spokeroute/dispatch/flare/list_push.py
+++ b/spokeroute/dispatch/flare/list_push.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pushed:
+class LastPush:
     """What was pushed last, and to which lives of exchanges."""
 
     term: int = 0
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ListsHead:
+class ListsHeader:
     """What each push names besides the lists."""
 
     term: int
@@ -36,21 +36,21 @@
     exchanges: int
 
 
-def whole_lists(head: ListsHead, rankings: tuple[Ranking, ...]) -> Lists:
+def full_lists(head: ListsHeader, rankings: tuple[Ranking, ...]) -> Lists:
     """Lists that stand for themselves.
 
     Example:
-        >>> whole_lists(ListsHead(1, 1, 1, 3), ()).base
+        >>> full_lists(ListsHeader(1, 1, 1, 3), ()).base
         -1
     """
     return _lists(head, {_key(r): r.instances for r in rankings if r.instances}, WHOLE)
 
 
-def changed_lists(head: ListsHead, pushed: Pushed, rankings: tuple[Ranking, ...]) -> Lists:
+def changed_lists(head: ListsHeader, pushed: LastPush, rankings: tuple[Ranking, ...]) -> Lists:
     """The lists that differ from those of the last push; an empty one is gone.
 
     Example:
-        >>> changed_lists(ListsHead(1, 2, 1, 3), Pushed(1, 1), ()).base
+        >>> changed_lists(ListsHeader(1, 2, 1, 3), LastPush(1, 1), ()).base
         1
     """
     before = {_key(r): r.instances for r in pushed.rankings if r.instances}
@@ -61,11 +61,11 @@
 
 
 def push(
-    head: ListsHead,
-    pushed: Pushed,
+    head: ListsHeader,
+    pushed: LastPush,
     rankings: tuple[Ranking, ...],
     holders: Mapping[NodeId, Incarnation],
-) -> tuple[Pushed, list[Effect]]:
+) -> tuple[LastPush, list[Effect]]:
     """One push to every exchange: one message for all that were told last, another for the rest.
 
     Example:
@@ -79,17 +79,17 @@
         if news is not None and pushed.told.get(node) == holders[node]:
             effects.append(Send(node, news))
             continue
-        whole = whole or whole_lists(head, rankings)
+        whole = whole or full_lists(head, rankings)
         effects.append(Send(node, whole))
     told = Map({str(node): int(incarnation) for node, incarnation in holders.items()})
-    return Pushed(head.term, head.sequence, rankings, told), effects
+    return LastPush(head.term, head.sequence, rankings, told), effects
 
 
 def _key(ranking: Ranking) -> tuple[str, str]:
     return ranking.service, ranking.worker
 
 
-def _lists(head: ListsHead, found: Mapping[tuple[str, str], tuple[str, ...]], base: int) -> Lists:
+def _lists(head: ListsHeader, found: Mapping[tuple[str, str], tuple[str, ...]], base: int) -> Lists:
     successors = tuple(Successors(service, worker, found[service, worker])
                        for service, worker in found)  # fmt: skip
     return Lists(
--- a/spokeroute/dispatch/placement/listing.py
+++ b/spokeroute/dispatch/placement/listing.py
@@ -13,10 +13,10 @@
 
 from spokeroute.common.bounds import Bounds
 from spokeroute.common.ids import Ms
-from spokeroute.dispatch.placement.plan import LISTED_ENDED, LOST_AFTER_LISTINGS, going
+from spokeroute.dispatch.placement.plan import LISTED_ENDED, LOST_AFTER_LISTINGS, is_leaving
+from spokeroute.dispatch.placement.planning_pass import identity_of
 from spokeroute.dispatch.placement.platform import PlatformCall, PlatformListed
 from spokeroute.dispatch.placement.table import DRAINING, STARTING, UP, Placed, PlacementTable
-from spokeroute.dispatch.placement.workbook import identity_of
 
 ORPHAN_MS = 10_000
 RATE_SHARE = 0.8  # of the platform's rate: pages grow in number, and members are replaced
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sighting:
+class ListingPresence:
     """What the listings said of one instance on the placement table."""
 
     since_ms: int  # since when it is looked for
@@ -47,36 +47,36 @@
     return max(bounds.list_ms, int(pause_ms))
 
 
-def sightings_of(
+def update_presence(
     placements: PlacementTable,
     listing: PlatformListed,
-    old: Map[str, Sighting],
+    old: Map[str, ListingPresence],
     lag_ms: int,
     now_ms: int,
-) -> Map[str, Sighting]:
+) -> Map[str, ListingPresence]:
     """Take a newer listing in. What starts, and what never was listed and drains, is not
     looked for: it may be booting yet.
 
     Example:
-        len(sightings_of(EMPTY_PLACEMENT_TABLE, listing, Map(), 500, 0)) == 0
+        len(update_presence(EMPTY_PLACEMENT_TABLE, listing, Map(), 500, 0)) == 0
     """
     there = {p.identity for p in listing.listed}
-    out: dict[str, Sighting] = {}
+    out: dict[str, ListingPresence] = {}
     for placed in placements.instances:
         before = old.get(placed.id)
         if identity_of(placed) in there:
-            out[placed.id] = Sighting(before.since_ms if before else now_ms, True)
+            out[placed.id] = ListingPresence(before.since_ms if before else now_ms, True)
         elif placed.state != STARTING:
-            seen = before or Sighting(now_ms)
+            seen = before or ListingPresence(now_ms)
             late_ms = LATE_LAGS * lag_ms + LATE_PLUS_MS
             due = placed.state == UP and now_ms - seen.since_ms >= late_ms
             more = 1 if seen.listed or due else 0
-            out[placed.id] = Sighting(seen.since_ms, seen.listed, seen.missing + more)
+            out[placed.id] = ListingPresence(seen.since_ms, seen.listed, seen.missing + more)
     return Map(out)
 
 
 def absent_from(
-    placements: PlacementTable, listing: PlatformListed, sightings: Mapping[str, Sighting]
+    placements: PlacementTable, listing: PlatformListed, presence: Mapping[str, ListingPresence]
 ) -> tuple[str, ...]:
     """Instances that the table has up or draining, and the newest listing has not, or shows as
     ended or going. Every registry says so with its proofs, whoever holds the role.
@@ -85,7 +85,7 @@
         absent_from(EMPTY_PLACEMENT_TABLE, listing, {}) == ()
     """
     listed = {p.identity: p for p in listing.listed}
-    seats = {s.id: s for s in listing.seats}
+    workers = {s.id: s for s in listing.workers}
     out: list[str] = []
     for placed in placements.instances:
         if placed.state == STARTING and not placed.holder:
@@ -93,10 +93,10 @@
         if placed.state not in (STARTING, UP, DRAINING):
             continue
         there = listed.get(identity_of(placed))
-        sight = sightings.get(placed.id)
+        sight = presence.get(placed.id)
         lost = sight is not None and sight.missing >= LOST_AFTER_LISTINGS
         ended = there is not None and there.state in LISTED_ENDED
-        if lost or ended or going(placed, there, seats.get(placed.worker)):
+        if lost or ended or is_leaving(placed, there, workers.get(placed.worker)):
             out.append(placed.id)
     return tuple(out)
 
--- a/spokeroute/dispatch/placement/workbook.py
+++ b/spokeroute/dispatch/placement/planning_pass.py
@@ -17,9 +17,9 @@
 from spokeroute.common.switches import Switches
 from spokeroute.dispatch.configuration.configuration import Table
 from spokeroute.dispatch.flare.algorithms import Shift
-from spokeroute.dispatch.placement.reports import Words
+from spokeroute.dispatch.placement.reports import HolderStatus
 from spokeroute.dispatch.placement.table import Placed, PlacementTable
-from spokeroute.dispatch.scaling.scaler import Demand, WorkerSeat
+from spokeroute.dispatch.scaling.sizing import Demand, ListedWorker
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
+class StartAnswer:
     """What the platform said of a start: its name for the instance and, perhaps, the address."""
 
     identity: str
@@ -49,7 +49,7 @@
     now_ms: int
     table: Table
     evacuated: frozenset[str]
-    seats: Mapping[WorkerId, WorkerSeat]
+    workers: Mapping[WorkerId, ListedWorker]
     listed: Mapping[str, Listed]  # by identity
     missing: Mapping[str, int]  # instance -> newer listings in a row without it
     demand: Mapping[str, Demand]
@@ -63,10 +63,10 @@
     avoid: frozenset[tuple[str, str]]  # (service, worker) that routing just left
     starts_left: int
     next_id: str
-    answered: Mapping[str, Answered] = field(default_factory=dict)  # starts, by our id
+    answered: Mapping[str, StartAnswer] = field(default_factory=dict)  # starts, by our id
     full: frozenset[str] = frozenset()  # starts that found no room
     full_workers: frozenset[str] = frozenset()
-    words: Words = Words()  # what holders say of the instances they hold
+    holder_status: HolderStatus = HolderStatus()  # what holders say of the instances they hold
     starting_ms: Mapping[str, int] = field(default_factory=dict)  # since when an instance starts
     zones: Mapping[str, str] = field(default_factory=dict)  # exchange -> its zone
     places: Places = Places()
@@ -128,29 +128,29 @@
         return [self[name] for name in self._by_service.get(service, ())]
 
 
-class Pass:
+class PlanningPass:
     """A pass's workbook; it lives for one call of ``plan`` and no longer."""
 
     def __init__(self, placements: PlacementTable, seen: Seen) -> None:
         self.seen = seen
-        self.now = Instances(placements.instances)
+        self.instances = Instances(placements.instances)
         self.decisions: list[Decision] = []
         self.surplus: set[str] = set()
         self.started = 0
 
-    def say(self, kind: str, inputs: dict[str, object], output: object) -> None:
+    def record_decision(self, kind: str, inputs: dict[str, object], output: object) -> None:
         """Add a decision to the ledger entries of this pass."""
         self.decisions.append(Decision(kind, inputs, output))
 
     def has(self, service: str) -> bool:
         """Whether a service has an instance, as this pass has them."""
-        return self.now.has(service)
+        return self.instances.has(service)
 
     def of(self, service: str) -> list[Placed]:
         """A service's instances, as this pass has them."""
-        return self.now.of(service)
+        return self.instances.of(service)
 
-    def may_stand(self, service: str, zone: str) -> bool:
+    def zone_allowed(self, service: str, zone: str) -> bool:
         """Whether a service's routes let its calls run in a zone, and their bodies go there."""
         allowed = self.seen.table.regions.get(service, frozenset())
         return self.seen.places.allows(allowed, zone)
--- a/spokeroute/dispatch/placement/placing.py
+++ b/spokeroute/dispatch/placement/state.py
@@ -13,12 +13,12 @@
 from spokeroute.common.replacing import replace
 from spokeroute.common.switches import Switches
 from spokeroute.dispatch.configuration.configuration import Table
-from spokeroute.dispatch.flare.algorithms import Picture, Ranking, Shift
-from spokeroute.dispatch.flare.list_push import Pushed
-from spokeroute.dispatch.flare.sense import PolicyPair, compile_policy
-from spokeroute.dispatch.placement.listing import Sighting, sightings_of
+from spokeroute.dispatch.flare.algorithms import LoadSnapshot, Ranking, Shift
+from spokeroute.dispatch.flare.list_push import LastPush
+from spokeroute.dispatch.flare.snapshot import PolicyPrograms, compile_policy
+from spokeroute.dispatch.placement.listing import ListingPresence, update_presence
 from spokeroute.dispatch.placement.platform import PlatformListed
-from spokeroute.dispatch.placement.reports import Reported
+from spokeroute.dispatch.placement.reports import ExchangeReport
 from spokeroute.dispatch.placement.table import (
     EMPTY_PLACEMENT_TABLE,
     STARTING,
@@ -27,21 +27,21 @@
     unpack_evacuated,
     unpack_placement_table,
 )
-from spokeroute.dispatch.placement.upkeep import Marks
-from spokeroute.dispatch.scaling.scaler import Demand, WorkerSeat
+from spokeroute.dispatch.placement.timers import PlacementTimers
+from spokeroute.dispatch.scaling.sizing import Demand, ListedWorker
 from spokeroute.dispatch.scaling.start_steps import StartSteps
 from spokeroute.ledger.entries import Record
 from spokeroute.register.replica.replica import Fresh
 from spokeroute.transport.messages import HeldWord, Probe, Took
 from spokeroute.transport.outcome_messages import OutcomesTold
 
-SHIFT_REST_MS = 10_000
-MOST_OUTCOMES = 4_000  # rows of the sums; past it only those that are there count on
+SHIFT_COOLDOWN_MS = 10_000
+MAX_OUTCOME_KEYS = 4_000  # rows of the sums; past it only those that are there count on
 OutcomeKey = tuple[str, str, str]
 """Service, outcome and reason."""
-ANEW_MS = 5_000
-BARE_LISTINGS = 5
-MOST_TOOK = 5_000
+LISTING_RESTART_MS = 5_000
+MAX_EMPTY_LISTINGS = 5
+MAX_RECORDED_ATTEMPTS = 5_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,38 +55,40 @@
     placements: PlacementTable = EMPTY_PLACEMENT_TABLE
     placements_version: int = -1  # -1: to be read at the term's start
     placements_op_id: str = ""
-    reports: Map[str, Reported] = field(default_factory=Map)
+    reports: Map[str, ExchangeReport] = field(default_factory=Map)
     listing: PlatformListed = PlatformListed(False, 0, (), ())
     listing_ms: Ms = Ms(-(10**6))
     list_asked: bool = False
     list_asked_ms: Ms = Ms(-(10**6))
     list_calls: int = 1  # of the platform, that the last listing took
-    sightings: Map[str, Sighting] = field(default_factory=Map)
-    bare: int = 0  # listings in a row that lacked everything
+    presence: Map[str, ListingPresence] = field(default_factory=Map)
+    empty_listings: int = 0  # listings in a row that lacked everything
     orphan_ms: Map[str, int] = field(default_factory=Map)
-    took: Map[str, int] = field(default_factory=Map)  # attempts whose successor is entered
-    marks: Marks = Marks()
+    recorded_attempts: Map[str, int] = field(
+        default_factory=Map
+    )  # attempts whose successor is entered
+    timers: PlacementTimers = PlacementTimers()
     demand: Map[str, Demand] = field(default_factory=Map)
     demand_ms: Ms = Ms(0)
     table: Table | None = None
-    policy: PolicyPair = PolicyPair()
+    policy: PolicyPrograms = PolicyPrograms()
     evacuated: frozenset[str] = frozenset()
     versions: Map[str, int] = field(default_factory=Map)
     proved_ms: Ms = Ms(-(10**6))  # this node's own newest proof
     next_plan_ms: Ms = Ms(0)
-    told: Map[str, str] = field(default_factory=Map)  # instance -> its holder's newest word
+    holder_words: Map[str, str] = field(default_factory=Map)  # instance -> its holder's newest word
     planned_ms: Ms = Ms(0)  # when the last pass was
     tokens: float = 0.0
     tokens_ms: Ms = Ms(0)
     rankings: tuple[Ranking, ...] = ()
-    ranked: Picture | None = None
+    ranked: LoadSnapshot | None = None
     sequence: int = 0
     ranked_ms: Ms = Ms(-(10**6))
     pushed_ms: Ms = Ms(0)
-    pushed: Pushed = Pushed()
+    pushed: LastPush = LastPush()
     shifts: tuple[Shift, ...] = ()
     shifted_ms: Map[tuple[str, str], int] = field(default_factory=Map)
-    draws: int = 0
+    op_count: int = 0
     bounds: Bounds = Bounds()
     places: Places = Places()
     switches: Switches = Switches()
@@ -94,18 +96,22 @@
     starts: StartSteps = StartSteps()
 
 
-def took_by(state: State, node: NodeId, took: tuple[Took, ...]) -> tuple[State, Effects]:
+def with_successors_taken(
+    state: State, node: NodeId, took: tuple[Took, ...]
+) -> tuple[State, Effects]:
     """Enter each successor that an exchange took, once.
 
     Example:
-        state, effects = took_by(state, node, probe.took)
+        state, effects = with_successors_taken(state, node, probe.took)
     """
     if not state.term:
         return state, ()
-    new = tuple(t for t in took if t.attempt_id not in state.took)
+    new = tuple(t for t in took if t.attempt_id not in state.recorded_attempts)
     if not new:
         return state, ()
-    known = state.took if len(state.took) < MOST_TOOK else Map()
+    known = (
+        state.recorded_attempts if len(state.recorded_attempts) < MAX_RECORDED_ATTEMPTS else Map()
+    )
     for each in new:
         known = known.set(each.attempt_id, 1)
     records = [
@@ -117,52 +123,54 @@
         )
         for t in new
     ]  # fmt: skip
-    return replace(state, took=known), tuple(record_in(state, r) for r in records)
+    return replace(state, recorded_attempts=known), tuple(ledger_entry(state, r) for r in records)
 
 
-def outcomes_by(state: State, node: NodeId, told: OutcomesTold) -> tuple[State, Effects]:
+def with_outcomes(state: State, node: NodeId, told: OutcomesTold) -> tuple[State, Effects]:
     """Sum and enter what an exchange told of calls that ended late, refused or failed.
 
     Example:
-        state, effects = outcomes_by(state, node, OutcomesTold(1, ()))
+        state, effects = with_outcomes(state, node, OutcomesTold(1, ()))
     """
     sums = state.outcomes
     for row in told.rows:
         key = (row.service, row.outcome, row.reason)
-        if key in sums or len(sums) < MOST_OUTCOMES:
+        if key in sums or len(sums) < MAX_OUTCOME_KEYS:
             sums = sums.set(key, sums.get(key, 0) + row.count)
     state = replace(state, outcomes=sums)
     if not state.term:
         return state, ()
     rows = [[row.service, row.outcome, row.reason, row.count] for row in told.rows]
     record = Record("outcomes", {"exchange": node, "batch": told.number}, rows)
-    return state, (record_in(state, record),)
+    return state, (ledger_entry(state, record),)
 
 
-def listed(state: State, listing: PlatformListed, now_ms: Ms) -> State:
+def with_listing(state: State, listing: PlatformListed, now_ms: Ms) -> State:
     """Take a listing in: not an older one (unless the platform began anew), nor, until it
     persists, one that lacks everything that is up.
 
     Example:
-        state = listed(state, listing, now_ms)
+        state = with_listing(state, listing, now_ms)
     """
-    newer = listing.sequence > state.listing.sequence or now_ms - state.listing_ms > ANEW_MS
+    newer = (
+        listing.sequence > state.listing.sequence or now_ms - state.listing_ms > LISTING_RESTART_MS
+    )
     if not listing.ok or not newer:
         return state
     up = sum(1 for p in state.placements.instances if p.state == UP)
-    bare = not listing.seats or (up > 1 and not listing.listed)
-    if bare and state.bare + 1 < BARE_LISTINGS:
-        return replace(state, bare=state.bare + 1)
+    is_empty = not listing.workers or (up > 1 and not listing.listed)
+    if is_empty and state.empty_listings + 1 < MAX_EMPTY_LISTINGS:
+        return replace(state, empty_listings=state.empty_listings + 1)
     lag_ms = state.bounds.listing_lag_ms
-    sightings = sightings_of(state.placements, listing, state.sightings, lag_ms, now_ms)
-    return replace(state, listing=listing, listing_ms=now_ms, sightings=sightings, bare=0)
+    presence = update_presence(state.placements, listing, state.presence, lag_ms, now_ms)
+    return replace(state, listing=listing, listing_ms=now_ms, presence=presence, empty_listings=0)
 
 
-def record_in(state: State, record: Record) -> Tell:
+def ledger_entry(state: State, record: Record) -> Tell:
     """An entry for the ledger, with the term and the versions it was made under.
 
     Example:
-        record_in(state, Record("term", {"holder": state.me}, 1)).actor == "ledger"
+        ledger_entry(state, Record("term", {"holder": state.me}, 1)).actor == "ledger"
     """
     return Tell(
         "ledger",
@@ -175,11 +183,11 @@
     )
 
 
-def refreshed(state: State, fresh: Fresh) -> State:
+def with_proved_copies(state: State, fresh: Fresh) -> State:
     """Take newly proved copies in; the placement table only where another writes it.
 
     Example:
-        state = refreshed(state, fresh)
+        state = with_proved_copies(state, fresh)
     """
     state = replace(state, proved_ms=fresh.as_of_ms)
     if not fresh.changed:
@@ -202,30 +210,30 @@
     )
 
 
-def seats_of(state: State) -> dict[WorkerId, WorkerSeat]:
+def workers_by_id(state: State) -> dict[WorkerId, ListedWorker]:
     """The workers of the newest listing, by id.
 
     Example:
         seats_of(State(NodeId("m1"))) == {}
     """
-    return {s.id: s for s in state.listing.seats}
+    return {s.id: s for s in state.listing.workers}
 
 
-def resting(state: State, now_ms: Ms) -> frozenset[tuple[str, str]]:
+def recently_shifted(state: State, now_ms: Ms) -> frozenset[tuple[str, str]]:
     """What was shifted so lately that it stays where it is.
 
     Example:
-        resting(State(NodeId("m1")), 0) == frozenset()
+        recently_shifted(State(NodeId("m1")), 0) == frozenset()
     """
-    return frozenset(k for k, at in state.shifted_ms.items() if now_ms - at < SHIFT_REST_MS)
+    return frozenset(k for k, at in state.shifted_ms.items() if now_ms - at < SHIFT_COOLDOWN_MS)
 
 
-def short_of(state: State, probe: Probe) -> bool:
+def lacks_capacity(state: State, probe: Probe) -> bool:
     """Whether calls wait at an exchange for a service whose instances, those that start
     included, could not take all that is asked of it at once.
 
     Example:
-        short_of(state, probe)
+        lacks_capacity(state, probe)
     """
     waits = {d.service for d in probe.demand if d.waiting}
     if not waits or state.table is None or waits.isdisjoint(state.table.services):
@@ -242,15 +250,15 @@
     return any(asked[name] > room[name] for name in waits)
 
 
-def told_by(state: State, node: NodeId, incarnation: int, word: HeldWord) -> State | None:
+def with_holder_word(state: State, node: NodeId, incarnation: int, word: HeldWord) -> State | None:
     """Keep a holder's word on an instance; None where it is not the one that holds it.
 
     Example:
-        told_by(State(NodeId("m1")), NodeId("ex1"), 1, HeldWord("a", "quiet")) is None
+        with_holder_word(State(NodeId("m1")), NodeId("ex1"), 1, HeldWord("a", "quiet")) is None
     """
     for placed in state.placements.instances:
         if placed.id == word.instance:
             if (placed.holder, placed.holder_incarnation) != (node, incarnation):
                 return None
-            return replace(state, told=state.told.set(word.instance, word.word))
+            return replace(state, holder_words=state.holder_words.set(word.instance, word.word))
     return None
--- a/spokeroute/dispatch/scaling/scaling.py
+++ b/spokeroute/dispatch/scaling/service_scaling.py
@@ -5,17 +5,17 @@
 from spokeroute.common.ids import Address, Incarnation, InstanceId, NodeId, ServiceName
 from spokeroute.common.replacing import replace
 from spokeroute.dispatch.configuration.configuration import Service
+from spokeroute.dispatch.placement.planning_pass import PlanningPass
 from spokeroute.dispatch.placement.table import DRAINING, STARTING, UP, Placed
-from spokeroute.dispatch.placement.workbook import Pass
-from spokeroute.dispatch.scaling.scaler import (
+from spokeroute.dispatch.scaling.sizing import (
     Demand,
     best_worker,
     boot_fits,
-    counted,
+    free_memory_of,
+    idle_retention_ms,
+    inactive_services_mb,
+    is_counted,
     is_idle,
-    patience_ms,
-    room_of,
-    sleepers_mb,
     spares_of,
     wanted_of,
 )
@@ -23,15 +23,15 @@
 SURPLUS_MS = 15_000
 NO_DEMAND = Demand()
 NO_NODE = NodeId("")
-NO_PROCESS = Incarnation(0)
+NO_INCARNATION = Incarnation(0)
 
 
-def asleep(work: Pass, service: Service) -> bool:
+def is_inactive(work: PlanningPass, service: Service) -> bool:
     """Whether there is nothing to decide on a service: it has no instance, nobody calls it, and it
     keeps none. Most of a large deployment's services are so most of the time.
 
     Example:
-        asleep(work, service)
+        is_inactive(work, service)
     """
     if work.has(service.name):
         return False
@@ -41,13 +41,13 @@
     return boot_fits(service, _kept_for_ms(work, service))
 
 
-def _kept_for_ms(work: Pass, service: Service) -> int:
+def _kept_for_ms(work: PlanningPass, service: Service) -> int:
     """The least aim that an instance is kept for; 0 where none is."""
     kept = work.seen.switches.warm_for_short_aims
     return work.seen.table.aim_ms.get(service.name, 0) if kept else 0
 
 
-def scale(work: Pass, service: Service) -> None:
+def scale(work: PlanningPass, service: Service) -> None:
     """Start, drain and route one service's instances.
 
     Example:
@@ -58,7 +58,7 @@
     here = [
         p
         for p in mine
-        if counted(p, seen.evacuated, seen.suspects) and work.may_stand(service.name, p.zone)
+        if is_counted(p, seen.evacuated, seen.suspects) and work.zone_allowed(service.name, p.zone)
     ]
     up = [p for p in here if p.state == UP and p.holder]
     demand = seen.demand.get(service.name, Demand())
@@ -74,19 +74,19 @@
     elif len(here) > total:
         work.surplus.add(service.name)
         since_ms = seen.now_ms - seen.surplus_ms.get(service.name, seen.now_ms)
-        if since_ms >= min(SURPLUS_MS, patience_ms(service, demand)):
+        if since_ms >= min(SURPLUS_MS, idle_retention_ms(service, demand)):
             inputs = _inputs(work, service, demand, here, running)
             _drain(work, here, len(here) - total, wanted, inputs)
     _route(work, service, up, wanted)
 
 
-def _bounded(work: Pass) -> bool:
+def _bounded(work: PlanningPass) -> bool:
     """Whether services grow by a bounded number at once."""
     return work.seen.switches.bounded_growth
 
 
 def _inputs(
-    work: Pass, service: Service, demand: Demand, here: list[Placed], running: int
+    work: PlanningPass, service: Service, demand: Demand, here: list[Placed], running: int
 ) -> dict[str, object]:
     """What a decision on a service looked at, for its ledger entry."""
     seen = work.seen
@@ -104,7 +104,7 @@
 
 
 def _start(
-    work: Pass,
+    work: PlanningPass,
     service: Service,
     here: list[Placed],
     wanted: int,
@@ -113,18 +113,18 @@
 ) -> None:
     seen = work.seen
     near = list(here)
-    open_seats = {
-        worker: seat
-        for worker, seat in seen.seats.items()
-        if worker not in seen.full_workers and work.may_stand(service.name, seat.zone)
+    usable_workers = {
+        worker: listed_worker
+        for worker, listed_worker in seen.workers.items()
+        if worker not in seen.full_workers and work.zone_allowed(service.name, listed_worker.zone)
     }
     for number in range(len(here), total):
         if work.started >= seen.starts_left:
             return
-        room = room_of(open_seats, work.now, seen.table.services, seen.evacuated)
+        room = free_memory_of(usable_workers, work.instances, seen.table.services, seen.evacuated)
         if number >= wanted and not room.spare_allowed(service.memory_mb):
             return
-        if number >= max(1, service.min_instances) and not room.rest_allowed(
+        if number >= max(1, service.min_instances) and not room.leaves_reserve(
             service.memory_mb, _kept_free_mb(work)
         ):
             return
@@ -134,35 +134,37 @@
         work.started += 1
         name = InstanceId(f"{service.name}-{seen.next_id}-{work.started}")
         placed = Placed(
-            name, ServiceName(service.name), worker, seen.seats[worker].zone, Address(""),
-            service.limit, STARTING, service.cold_ms == 0, False, NO_NODE, NO_PROCESS,
+            name, ServiceName(service.name), worker, seen.workers[worker].zone, Address(""),
+            service.limit, STARTING, service.cold_ms == 0, False, NO_NODE, NO_INCARNATION,
         )  # fmt: skip
-        work.now[name] = placed
+        work.instances[name] = placed
         near.append(placed)
-        work.say("start", {**inputs, "wanted": wanted}, {"instance": name, "worker": worker})
+        work.record_decision(
+            "start", {**inputs, "wanted": wanted}, {"instance": name, "worker": worker}
+        )
 
 
-def _kept_free_mb(work: Pass) -> int:
+def _kept_free_mb(work: PlanningPass) -> int:
     """Memory that stays free for services without an instance."""
     seen = work.seen
     if not seen.switches.room_for_sleepers:
         return 0
-    return sleepers_mb(seen.seats, work.now, seen.table.services)
+    return inactive_services_mb(seen.workers, work.instances, seen.table.services)
 
 
 def _drain(
-    work: Pass, here: list[Placed], many: int, wanted: int, inputs: dict[str, object]
+    work: PlanningPass, here: list[Placed], many: int, wanted: int, inputs: dict[str, object]
 ) -> None:
     order = sorted(here, key=lambda p: (p.routed, -work.seen.cu_pct.get(p.worker, 0.0), p.id))
     for placed in [p for p in order if p.state == UP][:many]:
-        work.now[placed.id] = replace(placed, state=DRAINING, routed=False)
-        work.say("drain", {**inputs, "wanted": wanted}, {"instance": placed.id})
+        work.instances[placed.id] = replace(placed, state=DRAINING, routed=False)
+        work.record_decision("drain", {**inputs, "wanted": wanted}, {"instance": placed.id})
 
 
-def _route(work: Pass, service: Service, up: list[Placed], wanted: int) -> None:
+def _route(work: PlanningPass, service: Service, up: list[Placed], wanted: int) -> None:
     """Keep as many routed as are wanted; promote where the load is least."""
     seen = work.seen
-    live = [work.now[p.id] for p in up if work.now[p.id].state == UP]
+    live = [work.instances[p.id] for p in up if work.instances[p.id].state == UP]
     routed = [p for p in live if p.routed]
     if len(routed) < wanted:
         over = seen.table.thresholds.overload_pct
@@ -180,13 +182,13 @@
             kept = (placed.service, placed.worker) in seen.avoid
             if routed and (kept or seen.cu_pct.get(placed.worker, 0.0) >= over):
                 break
-            work.now[placed.id] = replace(placed, routed=True)
+            work.instances[placed.id] = replace(placed, routed=True)
             routed.append(placed)
-            work.say("route", {"instance": placed.id, "wanted": wanted}, "routed")
+            work.record_decision("route", {"instance": placed.id, "wanted": wanted}, "routed")
     elif len(routed) > max(1, wanted):
         order = sorted(routed, key=lambda p: (-seen.cu_pct.get(p.worker, 0.0), p.id))
         for placed in order[: len(routed) - max(1, wanted)]:
             if seen.now_ms - seen.surplus_ms.get(service.name, seen.now_ms) >= SURPLUS_MS // 3:
-                work.now[placed.id] = replace(placed, routed=False)
-                work.say("route", {"instance": placed.id, "wanted": wanted}, "passive")
+                work.instances[placed.id] = replace(placed, routed=False)
+                work.record_decision("route", {"instance": placed.id, "wanted": wanted}, "passive")
         work.surplus.add(service.name)
--- a/spokeroute/dispatch/scaling/start_marks.py
+++ b/spokeroute/dispatch/scaling/start_progress.py
@@ -3,30 +3,30 @@
 from __future__ import annotations
 
 from spokeroute.common.ids import Ms
+from spokeroute.dispatch.placement.planning_pass import Decision
 from spokeroute.dispatch.placement.table import STARTING, UP, PlacementTable
-from spokeroute.dispatch.placement.workbook import Decision
 from spokeroute.dispatch.scaling.start_steps import StartStep, StartSteps
 
 
-def started_by(decision: Decision) -> str:
+def started_instance(decision: Decision) -> str:
     """The instance that a decision to start is about.
 
     Example:
-        >>> started_by(Decision("start", {}, {"instance": "a", "worker": "w"}))
+        >>> started_instance(Decision("start", {}, {"instance": "a", "worker": "w"}))
         'a'
     """
     output = decision.output
     return str(output["instance"]) if isinstance(output, dict) else ""
 
 
-def steps_of(
+def record_start_steps(
     starts: StartSteps, before: PlacementTable, placements: PlacementTable, now_ms: Ms
 ) -> StartSteps:
     """The steps that end where a table was chosen: a start is written, a holder named, or an
     instance marked as up.
 
     Example:
-        steps_of(StartSteps(), EMPTY_PLACEMENT_TABLE, placements, now_ms).steps
+        record_start_steps(StartSteps(), EMPTY_PLACEMENT_TABLE, placements, now_ms).steps
     """
     if not starts.open:
         return starts
--- a/spokeroute/dispatch/scaling/start_steps.py
+++ b/spokeroute/dispatch/scaling/start_steps.py
@@ -16,7 +16,7 @@
 from spokeroute.common.ids import Ms
 from spokeroute.common.replacing import replace
 
-MOST_OPEN = 1_000
+MAX_OPEN_STARTS = 1_000
 
 
 class StartStep(StrEnum):
@@ -55,7 +55,7 @@
             >>> len(StartSteps().begun("a", Ms(5)).open)
             1
         """
-        if len(self.open) >= MOST_OPEN:
+        if len(self.open) >= MAX_OPEN_STARTS:
             return replace(self, open=Map({instance: Start(None, now_ms)}))
         return replace(self, open=self.open.set(instance, Start(None, now_ms)))
 
--- a/tests/sim/platform.py
+++ b/tests/sim/platform.py
@@ -15,9 +15,9 @@
 
 from spokeroute.common.answers import Ran
 from spokeroute.common.ids import Address, ServiceName, WorkerId, ZoneName
+from spokeroute.dispatch.placement.planning_pass import Listed
 from spokeroute.dispatch.placement.platform import PlatformCall, PlatformDone, PlatformListed
-from spokeroute.dispatch.placement.workbook import Listed
-from spokeroute.dispatch.scaling.scaler import WorkerSeat
+from spokeroute.dispatch.scaling.sizing import ListedWorker
 from spokeroute.exchange.connect import Connect, ConnectDone
 from spokeroute.exchange.types import AttemptDone, SendAttempt
 from tools.log import Dial, Emptied, Run
@@ -53,7 +53,7 @@
         self.env = env
         self.rng = rng
         self.seats = [
-            WorkerSeat(WorkerId(f"w{i + 1}"), ZoneName(zones[i % len(zones)]), 7680)
+            ListedWorker(WorkerId(f"w{i + 1}"), ZoneName(zones[i % len(zones)]), 7680)
             for i in range(workers)
         ]
         self.down_workers: set[str] = set()
@@ -66,7 +66,7 @@
         self.list_delay_ms = 500.0
         self.list_fails = False
         self.list_bare = False  # a listing without any instance, though there are some
-        self.snapshots: list[tuple[float, int, tuple[WorkerSeat, ...], tuple[Listed, ...]]] = []
+        self.snapshots: list[tuple[float, int, tuple[ListedWorker, ...], tuple[Listed, ...]]] = []
         self.sequence = 0
         self.recent: list[float] = []
         self.runs: list[Run] = []
@@ -91,7 +91,7 @@
         self.knocks: list[tuple[float, str, bool]] = []  # plain connects, and what came of them
         env.process(self._snap())
 
-    def seat(self, worker: str) -> WorkerSeat:
+    def seat(self, worker: str) -> ListedWorker:
         return next(s for s in self.seats if s.id == worker)
 
     def _snap(self) -> Steps:
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -226,7 +226,7 @@
     monkeypatch.setattr(client.pool, "request", request)
     got = client.list()
     assert got.ok and [x.state for x in got.listed] == ["running", "draining"]
-    assert got.seats[0].draining
+    assert got.workers[0].draining
     job = PlatformCall("start", "one-1", "one", "w", 128, 1, Ms(0), term=4)
     done = client.call(job)
     assert (done.outcome, done.identity, done.address) == ("ok", "i-3", "10.0.0.3:80")
--- a/tests/test_asleep.py
+++ b/tests/test_asleep.py
@@ -1,4 +1,4 @@
-"""A planning pass leaves out services that are asleep: what it decides is the same."""
+"""A planning pass leaves out inactive services: what it decides is the same."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 )
 from spokeroute.dispatch.configuration.configuration import Service, Table
 from spokeroute.dispatch.configuration.models import Programs, Thresholds
+from spokeroute.dispatch.placement.planning_pass import PlanningPass, Seen
 from spokeroute.dispatch.placement.table import DRAINING, STARTING, UP, Placed, PlacementTable
-from spokeroute.dispatch.placement.workbook import Pass, Seen
-from spokeroute.dispatch.scaling.scaler import Demand, WorkerSeat
-from spokeroute.dispatch.scaling.scaling import asleep, scale
+from spokeroute.dispatch.scaling.service_scaling import is_inactive, scale
+from spokeroute.dispatch.scaling.sizing import Demand, ListedWorker
 
 NOW_MS = 100_000
-SEATS = {WorkerId(f"w{at}"): WorkerSeat(WorkerId(f"w{at}"), ZoneName("north"), 8_192)
+SEATS = {WorkerId(f"w{at}"): ListedWorker(WorkerId(f"w{at}"), ZoneName("north"), 8_192)
          for at in range(3)}  # fmt: skip
 DEMANDS = st.builds(
     Demand,
@@ -79,23 +79,23 @@
     service: Service, demand: Demand | None, aim_ms: int, state: str
 ) -> None:
     instances = (placed(state),) if state else ()
-    work = Pass(PlacementTable(Term(1), 1, instances), seen_of(service, demand, aim_ms))
-    if not asleep(work, service):
+    work = PlanningPass(PlacementTable(Term(1), 1, instances), seen_of(service, demand, aim_ms))
+    if not is_inactive(work, service):
         return
-    before = dict(work.now)
+    before = dict(work.instances)
     scale(work, service)
-    assert (dict(work.now), work.decisions, work.surplus) == (before, [], set())
+    assert (dict(work.instances), work.decisions, work.surplus) == (before, [], set())
 
 
 def test_who_is_called_or_kept_is_not_asleep() -> None:
     quick = Service("s", 128, 1, start_ms=200, idle_ms=3_000, spares=0)
     idle, called = Demand(), Demand(last_arrival_ms=NOW_MS)
     floor = PlacementTable(Term(1), 1, ())
-    assert asleep(Pass(floor, seen_of(quick, idle, 0)), quick)
-    assert not asleep(Pass(floor, seen_of(quick, called, 0)), quick)
+    assert is_inactive(PlanningPass(floor, seen_of(quick, idle, 0)), quick)
+    assert not is_inactive(PlanningPass(floor, seen_of(quick, called, 0)), quick)
     kept = replace(quick, min_instances=1)
-    assert not asleep(Pass(floor, seen_of(kept, idle, 0)), kept)
+    assert not is_inactive(PlanningPass(floor, seen_of(kept, idle, 0)), kept)
     slow = replace(quick, start_ms=1_400)
-    assert not asleep(Pass(floor, seen_of(slow, idle, 300)), slow)
-    full = Pass(PlacementTable(Term(1), 1, (placed(DRAINING),)), seen_of(quick, idle, 0))
-    assert not asleep(full, quick)
+    assert not is_inactive(PlanningPass(floor, seen_of(slow, idle, 300)), slow)
+    full = PlanningPass(PlacementTable(Term(1), 1, (placed(DRAINING),)), seen_of(quick, idle, 0))
+    assert not is_inactive(full, quick)
--- a/tests/test_bad_store.py
+++ b/tests/test_bad_store.py
@@ -151,7 +151,7 @@
     other = Copy("configuration", 99, digest_of(value), 10**6, "m-forged")
     wrong = Copy("configuration", 99, digest_of(b"else"), 10**6, "m-forged")
     before = (there.state("acceptor").cells["configuration"], there.state("membership").roster)
-    lives = there.state("role").lives
+    lives = there.state("role").incarnations
     forged(sim, [
         RosterNews(b"\xff junk"), RosterNews(b"[]"), RosterNews(b'{"epoch": 99}'),
         RosterNews(pack_roster(Roster(Epoch(0), ()))),
@@ -164,7 +164,7 @@
     sim.run(3_000)
     assert there.state("acceptor").cells["configuration"] == before[0]
     assert there.state("membership").roster == before[1]
-    assert there.state("role").lives == lives
+    assert there.state("role").incarnations == lives
     assert sum(1 for r in sim.registries if r.state("role").term) == 1
     told = sim.apply(configuration(name="after"))
     sim.run(1_000)
--- a/tests/test_cut_off_role.py
+++ b/tests/test_cut_off_role.py
@@ -85,7 +85,7 @@
 def endless(monkeypatch: pytest.MonkeyPatch) -> None:
     """The planted fault: a lease without end, and a floor that counts as known although a write
     of it failed. Either check alone keeps a cut-off holder from the platform."""
-    honest = placement._placements_settled
+    honest = placement._on_placements_settled
 
     def kept(state, outcome, *rest):  # type: ignore[no-untyped-def]
         if outcome != Outcome.DONE:
@@ -93,7 +93,7 @@
         return honest(state, outcome, *rest)
 
     monkeypatch.setattr(role, "TERM_LEASE_MS", 10**9)
-    monkeypatch.setattr(placement, "_placements_settled", kept)
+    monkeypatch.setattr(placement, "_on_placements_settled", kept)
 
 
 @ONE
--- a/tests/test_flare.py
+++ b/tests/test_flare.py
@@ -2,17 +2,24 @@
 
 from __future__ import annotations
 
-from spokeroute.dispatch.flare.algorithms import Function, Limits, Picture, Site, laaf, rome
+from spokeroute.dispatch.flare.algorithms import (
+    CandidateWorker,
+    Function,
+    LoadSnapshot,
+    ShiftLimits,
+    laaf,
+    rome,
+)
 
 
-def site(worker: str, instance: str) -> Site:
-    return Site(worker, (instance,))
+def site(worker: str, instance: str) -> CandidateWorker:
+    return CandidateWorker(worker, (instance,))
 
 
 def test_laaf_follows_dynamic_load_in_table1() -> None:
     """A-1 (40%) and B-1 (30%) on TANGO; DY-1 and DY-2 (50% each) came to LAMBADA and
     CHARLIE. The static order was A-3 then A-2 and B-3 then B-2; LAAF turns both round."""
-    before = Picture(
+    before = LoadSnapshot(
         (("TANGO", 70.0), ("LAMBADA", 0.0), ("CHARLIE", 0.0), ("ALPHA", 20.0), ("BETA", 10.0)),
         (Function("A", "TANGO", 40.0), Function("B", "TANGO", 30.0)),
         (
@@ -21,10 +28,10 @@
         ),
     )
     assert [r.instances for r in laaf(before)] == [("A-3", "A-2"), ("B-3", "B-2")]
-    loaded = Picture(
+    loaded = LoadSnapshot(
         (("TANGO", 70.0), ("LAMBADA", 50.0), ("CHARLIE", 50.0), ("ALPHA", 20.0), ("BETA", 10.0)),
         before.functions,
-        before.sites,
+        before.candidates,
     )
     ranks = laaf(loaded)
     assert [r.instances for r in ranks] == [("A-2", "A-3"), ("B-2", "B-3")]
@@ -36,28 +43,28 @@
     """Two functions of one worker with the same candidates: the first head's expected
     utilization grows before the second is ranked."""
     both = (site("a", "x-a"), site("b", "x-b"))
-    picture = Picture(
+    snapshot = LoadSnapshot(
         (("t", 70.0), ("a", 10.0), ("b", 15.0)),
         (Function("x", "t", 40.0), Function("y", "t", 30.0)),
         (("x", both), ("y", (site("a", "y-a"), site("b", "y-b")))),
     )
-    assert [r.workers[0] for r in laaf(picture)] == ["a", "b"]
+    assert [r.workers[0] for r in laaf(snapshot)] == ["a", "b"]
 
 
 def test_laaf_runs_on_successorless_and_unknown_workers() -> None:
-    picture = Picture((("t", 5.0),), (Function("x", "t", 5.0),), ())
-    assert laaf(picture)[0].instances == ()
+    snapshot = LoadSnapshot((("t", 5.0),), (Function("x", "t", 5.0),), ())
+    assert laaf(snapshot)[0].instances == ()
 
 
 def test_rome_moves_the_heaviest_off_beta() -> None:
     """Case 1: A-2 (40%) and H-1 (50%) make 90% on BETA; H has no replica, so A goes to
     the least loaded of its hosts, LAMBADA at 0."""
-    picture = Picture(
+    snapshot = LoadSnapshot(
         (("BETA", 90.0), ("LAMBADA", 0.0), ("ALPHA", 10.0), ("CHARLIE", 30.0)),
         (Function("A", "BETA", 40.0), Function("H", "BETA", 50.0)),
         (("A", (site("BETA", "A-2"), site("LAMBADA", "A-3"), site("ALPHA", "A-4"))),),
     )
-    relief = rome(picture, Limits())
+    relief = rome(snapshot, ShiftLimits())
     assert [(s.service, s.to_worker, s.cause) for s in relief.shifts] == [
         ("A", "LAMBADA", "overload")
     ]
@@ -68,7 +75,7 @@
 def test_rome_skips_a_move_that_overloads_its_target() -> None:
     """Case 2: A (40%), B (30%) and D (10%) on ALPHA, 80% in all. A can't go to BETA at
     50% (90 is over 70), so B goes to PRINCE; ALPHA settles at 50%."""
-    picture = Picture(
+    snapshot = LoadSnapshot(
         (("ALPHA", 80.0), ("BETA", 50.0), ("PRINCE", 0.0)),
         (
             Function("A", "ALPHA", 40.0),
@@ -77,7 +84,7 @@
         ),
         (("A", (site("BETA", "A-2"),)), ("B", (site("PRINCE", "B-3"),))),
     )
-    relief = rome(picture, Limits())
+    relief = rome(snapshot, ShiftLimits())
     assert [(s.service, s.to_worker) for s in relief.shifts] == [("B", "PRINCE")]
     assert dict(relief.eu_pct)["ALPHA"] == 50.0
 
@@ -86,46 +93,46 @@
     """Case 3: D (10%) on ALPHA at 50%, its replica on LAMBADA at 0: 50 is over 120% of 10.
     A second look after the move leaves it there."""
     sites = (("D", (site("ALPHA", "D-1"), site("LAMBADA", "D-2"))),)
-    picture = Picture(
+    snapshot = LoadSnapshot(
         (("ALPHA", 50.0), ("LAMBADA", 0.0)),
         (Function("A", "ALPHA", 40.0), Function("D", "ALPHA", 10.0)),
         sites,
     )
-    relief = rome(picture, Limits())
+    relief = rome(snapshot, ShiftLimits())
     assert [(s.service, s.to_worker, s.cause) for s in relief.shifts] == [
         ("D", "LAMBADA", "imbalance")
     ]
-    after = Picture(
+    after = LoadSnapshot(
         relief.eu_pct, (Function("A", "ALPHA", 40.0), Function("D", "LAMBADA", 10.0)), sites
     )
-    assert rome(after, Limits()).shifts == ()
+    assert rome(after, ShiftLimits()).shifts == ()
 
 
 def test_imbalance_leaves_a_move_that_would_not_shrink_the_gap() -> None:
     """One function of 50% between two workers: moving it only turns the gap round."""
     sites = (("A", (site("a", "A-1"), site("b", "A-2"))),)
-    picture = Picture((("a", 50.0), ("b", 0.0)), (Function("A", "a", 50.0),), sites)
-    assert rome(picture, Limits(migration_pct=80.0)).shifts == ()
+    snapshot = LoadSnapshot((("a", 50.0), ("b", 0.0)), (Function("A", "a", 50.0),), sites)
+    assert rome(snapshot, ShiftLimits(migration_pct=80.0)).shifts == ()
 
 
 def test_imbalance_leaves_a_small_gap() -> None:
     """Seen on a fleet: a service with one call now and then moved at each sample, since any
     gap is over 120% of next to nothing."""
     sites = (("A", (site("a", "A-1"), site("b", "A-2"))),)
-    picture = Picture(
+    snapshot = LoadSnapshot(
         (("a", 9.0), ("b", 0.0)), (Function("A", "a", 0.1), Function("B", "a", 8.9)), sites
     )
-    assert rome(picture, Limits()).shifts == ()
-    assert len(rome(picture, Limits(gap_pct=0.0)).shifts) == 1
+    assert rome(snapshot, ShiftLimits()).shifts == ()
+    assert len(rome(snapshot, ShiftLimits(gap_pct=0.0)).shifts) == 1
 
 
 def test_veto_holds_and_wish_moves() -> None:
     sites = (("A", (site("b", "A-2"),)),)
-    picture = Picture((("a", 90.0), ("b", 0.0)), (Function("A", "a", 40.0),), sites)
-    vetoed = Picture(picture.cu_pct, picture.functions, sites, vetoes=(("A", "a"),))
-    assert rome(vetoed, Limits()).shifts == ()
-    calm = Picture((("a", 30.0), ("b", 0.0)), (Function("A", "a", 10.0),), sites)
-    high = Limits(migration_pct=1000.0)
+    snapshot = LoadSnapshot((("a", 90.0), ("b", 0.0)), (Function("A", "a", 40.0),), sites)
+    vetoed = LoadSnapshot(snapshot.cu_pct, snapshot.functions, sites, vetoes=(("A", "a"),))
+    assert rome(vetoed, ShiftLimits()).shifts == ()
+    calm = LoadSnapshot((("a", 30.0), ("b", 0.0)), (Function("A", "a", 10.0),), sites)
+    high = ShiftLimits(migration_pct=1000.0)
     assert rome(calm, high).shifts == ()
-    wished = Picture(calm.cu_pct, calm.functions, sites, wishes=(("A", "a"),))
+    wished = LoadSnapshot(calm.cu_pct, calm.functions, sites, wishes=(("A", "a"),))
     assert [s.cause for s in rome(wished, high).shifts] == ["program"]
--- a/tests/test_judges.py
+++ b/tests/test_judges.py
@@ -9,8 +9,8 @@
 
 from spokeroute.common.answers import Answer, Ran
 from spokeroute.common.effects import SlotId
-from spokeroute.dispatch.placement import listing, placement, plan, upkeep
-from spokeroute.dispatch.scaling import scaler, scaling
+from spokeroute.dispatch.placement import listing, placement, plan, timers
+from spokeroute.dispatch.scaling import service_scaling, sizing
 from spokeroute.exchange import budget, held_instance, holder, types
 from spokeroute.exchange.held_instance import HeldInstance
 from spokeroute.exchange.types import AttemptDone
@@ -194,10 +194,10 @@
     sim.evacuate("north", True)
     sim.run(6_000)
     assert judges.evacuated_get_nothing(sim.log()) == []
-    monkeypatch.setattr(scaling, "room_of", lambda seats, now, services, evacuated: scaler.room_of(
-        seats, now, services, frozenset()))  # fmt: skip
+    monkeypatch.setattr(service_scaling, "free_memory_of", lambda workers, now, services, evacuated:
+                        sizing.free_memory_of(workers, now, services, frozenset()))  # fmt: skip
     monkeypatch.setattr(placement, "platform_calls", lambda floor, table, marks, out, *rest:
-                        upkeep.platform_calls(floor, table, marks, frozenset(), *rest))  # fmt: skip
+                        timers.platform_calls(floor, table, marks, frozenset(), *rest))  # fmt: skip
     for _ in range(60):
         sim.call("/small/1")
         sim.call("/readings")
@@ -210,8 +210,8 @@
 ) -> None:
     """The floor never marks what the platform says it drains."""
     sim.settle()
-    monkeypatch.setattr(plan, "going", lambda *_: False)
-    monkeypatch.setattr(listing, "going", lambda *_: False)
+    monkeypatch.setattr(plan, "is_leaving", lambda *_: False)
+    monkeypatch.setattr(listing, "is_leaving", lambda *_: False)
     sim.platform.emptied.update(s.id for s in sim.platform.seats)
     sim.run(4_500)
     for _ in range(10):
@@ -225,7 +225,7 @@
 ) -> None:
     """Instances are stopped before their drain could be known everywhere."""
     sim.settle()
-    monkeypatch.setattr(upkeep, "quiet_ms", lambda *_: 0)
+    monkeypatch.setattr(timers, "drain_wait_ms", lambda *_: 0)
     never_stale(monkeypatch)
     cut_off_with_calls(sim)
     sim.traffic(60, 3_000, ("/readings",))
--- a/tests/test_list_push.py
+++ b/tests/test_list_push.py
@@ -10,7 +10,7 @@
 from spokeroute.common.effects import Send
 from spokeroute.common.ids import Incarnation, Ms, NodeId
 from spokeroute.dispatch.flare.algorithms import Ranking
-from spokeroute.dispatch.flare.list_push import ListsHead, Pushed, push
+from spokeroute.dispatch.flare.list_push import LastPush, ListsHeader, push
 from spokeroute.exchange.successor_lists import ASK_AGAIN_MS, SuccessorLists, merged
 from spokeroute.transport.frames import Envelope, decode, encode
 from spokeroute.transport.list_messages import Lists, ListsAsk
@@ -37,10 +37,10 @@
 def test_who_got_each_push_or_asked_has_the_whole_lists(
     pushes: list[tuple[dict[tuple[str, str], tuple[str, ...]], bool]],
 ) -> None:
-    pushed, held, heard = Pushed(), SuccessorLists(), SuccessorLists()
+    pushed, held, heard = LastPush(), SuccessorLists(), SuccessorLists()
     for sequence, (ranked, comes) in enumerate(pushes):
         now_ms = Ms(ASK_AGAIN_MS * sequence)
-        head = ListsHead(1, sequence, 1, 2)
+        head = ListsHeader(1, sequence, 1, 2)
         pushed, effects = push(head, pushed, rankings(ranked), HOLDERS)
         fit = {key: instances for key, instances in ranked.items() if instances}
         heard, ask = merged(heard, lists_to([*effects], "ex1"), now_ms)
@@ -52,19 +52,19 @@
             assert dict(held.ranked) == fit and held.sequence == sequence
         else:
             assert ask == ListsAsk(held.term, held.sequence)
-            whole = push(head, Pushed(), rankings(ranked), HOLDERS)[1]
+            whole = push(head, LastPush(), rankings(ranked), HOLDERS)[1]
             held, ask = merged(held, lists_to([*whole], "ex2"), now_ms)
             assert ask is None and dict(held.ranked) == fit
 
 
 def test_only_what_changed_goes_to_those_who_were_told() -> None:
     many = {(f"s{number}", "w1"): (f"i{number}",) for number in range(100)}
-    pushed, effects = push(ListsHead(1, 1, 1, 2), Pushed(), rankings(many), HOLDERS)
+    pushed, effects = push(ListsHeader(1, 1, 1, 2), LastPush(), rankings(many), HOLDERS)
     assert len(lists_to([*effects], "ex1").successors) == 100
     changed = {**many, ("s3", "w1"): ("i9",)}
     del changed["s4", "w1"]
     born = {NodeId("ex1"): Incarnation(1), NodeId("ex2"): Incarnation(2)}
-    _, effects = push(ListsHead(1, 2, 1, 2), pushed, rankings(changed), born)
+    _, effects = push(ListsHeader(1, 2, 1, 2), pushed, rankings(changed), born)
     news = lists_to([*effects], "ex1")
     assert news.base == 1
     assert {(s.service, s.ranked) for s in news.successors} == {("s3", ("i9",)), ("s4", ())}
--- a/tests/test_listing_rate.py
+++ b/tests/test_listing_rate.py
@@ -11,8 +11,8 @@
 from spokeroute.common.ids import Ms, NodeId
 from spokeroute.dispatch.placement import placement
 from spokeroute.dispatch.placement.listing import list_pause_ms
-from spokeroute.dispatch.placement.placing import State
 from spokeroute.dispatch.placement.platform import ListPlatform, PlatformListed
+from spokeroute.dispatch.placement.state import State
 
 RATE = 27.0
 
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -10,8 +10,8 @@
 from spokeroute.common.histogram import BOUNDS_MS, Histogram
 from spokeroute.common.ids import Incarnation, InstanceId, Ms, NodeId, WorkerId
 from spokeroute.common.replacing import replace
-from spokeroute.dispatch.placement.placing import State as Placing
-from spokeroute.dispatch.placement.placing import outcomes_by
+from spokeroute.dispatch.placement.state import State as Placing
+from spokeroute.dispatch.placement.state import with_outcomes
 from spokeroute.dispatch.scaling.start_steps import StartStep, StartSteps
 from spokeroute.exchange.outcomes import (
     BY_KIND,
@@ -140,11 +140,11 @@
 def test_the_member_that_places_sums_them_and_enters_them() -> None:
     told = OutcomesTold(3, (OutcomeRow("s", "late", "waited_for_boot", 2),))
     state = Placing(NodeId("m1"), term=4)
-    state, effects = outcomes_by(state, NodeId("ex1"), told)
-    state, _ = outcomes_by(state, NodeId("ex2"), told)
+    state, effects = with_outcomes(state, NodeId("ex1"), told)
+    state, _ = with_outcomes(state, NodeId("ex2"), told)
     assert state.outcomes["s", "late", "waited_for_boot"] == 4
     assert len(effects) == 1
-    assert outcomes_by(replace(state, term=0), NodeId("ex1"), told)[1] == ()
+    assert with_outcomes(replace(state, term=0), NodeId("ex1"), told)[1] == ()
 
 
 def test_a_log_line_is_read_back_and_rubbish_is_not() -> None:
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -19,7 +19,7 @@
     Service,
     read_configuration,
 )
-from spokeroute.dispatch.flare.algorithms import Function, Picture, Site
+from spokeroute.dispatch.flare.algorithms import CandidateWorker, Function, LoadSnapshot
 from spokeroute.dispatch.placement.table import UP, Placed
 from spokeroute.exchange import calls, entry
 from spokeroute.exchange.budget import WINDOW_MS, Budget
@@ -167,10 +167,12 @@
 
 def test_replay_notices_another_outcome(sim: Sim) -> None:
     """An entry whose digest is right but whose output the functions don't bear out."""
-    picture = Picture((("t", 9.0),), (Function("A", "t", 9.0),), (("A", (Site("u", ("a",)),)),))
-    good = Record("laaf", picture_doc(picture), [["A", "t", ["a"]]], 1)
+    snapshot = LoadSnapshot(
+        (("t", 9.0),), (Function("A", "t", 9.0),), (("A", (CandidateWorker("u", ("a",)),)),)
+    )
+    good = Record("laaf", picture_doc(snapshot), [["A", "t", ["a"]]], 1)
     assert replay([entry_text("1-1-m", good, "")]).difference is None
-    bad = Record("laaf", picture_doc(picture), [["A", "t", ["b"]]], 1)
+    bad = Record("laaf", picture_doc(snapshot), [["A", "t", ["b"]]], 1)
     got = replay([entry_text("1-1-m", bad, "")])
     assert got.difference is not None and "recomputed" in got.difference.reason
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -17,7 +17,7 @@
 from spokeroute.common.effects import Effects, From, Send, SendAddress, SlotId, Tell, Tick
 from spokeroute.common.ids import Address, Epoch, Incarnation, MemberId, Ms, NodeId, Term
 from spokeroute.dispatch.placement import role
-from spokeroute.dispatch.placement.role import Holder, Resign, pack_role
+from spokeroute.dispatch.placement.role import Resign, RoleHolder, pack_role
 from spokeroute.register.cells import Roster
 from spokeroute.register.changes import Ask, Outcome, Read, Settled, Swap
 from spokeroute.register.proposer import proposer
@@ -210,7 +210,7 @@
 
 
 def told(
-    state: role.State, ask: Ask, holder: Holder, version: int, now_ms: int
+    state: role.State, ask: Ask, holder: RoleHolder, version: int, now_ms: int
 ) -> tuple[role.State, Effects]:
     said = Settled(ask.op_id, "placement", Outcome.DONE, version, pack_role(holder), False)
     return role.step(state, said, Ms(now_ms))
@@ -220,7 +220,7 @@
     """Lives of a member are counted by its disk: only a later one voids a lease."""
     state = role.State(ME, 5, (ME, OTHER))
     state, effects = role.step(state, Tick(), Ms(10))
-    state, _ = told(state, asked(effects), Holder(OTHER, 7, 3), 9, 12)
+    state, _ = told(state, asked(effects), RoleHolder(OTHER, 7, 3), 9, 12)
     for life, wanted in ((6, False), (7, False), (8, True)):
         alive = From(OTHER, Incarnation(life), Heartbeat(1, True, False, (), "", True, False))
         state, _ = role.step(state, alive, Ms(20))
@@ -232,15 +232,15 @@
 def test_a_role_let_go_is_read_before_it_is_taken() -> None:
     state = role.State(ME, 5, (ME, OTHER))
     state, effects = role.step(state, Tick(), Ms(10))
-    state, _ = told(state, asked(effects), Holder(OTHER, 7, 3), 9, 12)
+    state, _ = told(state, asked(effects), RoleHolder(OTHER, 7, 3), 9, 12)
     state, _ = role.step(state, From(OTHER, Incarnation(7), RoleFree(3)), Ms(20))
     state, _ = role.step(state, Tick(), Ms(30))
     state, effects = role.step(state, Tick(), Ms(300))
     ask = asked(effects)
     assert isinstance(ask.change, Read)
-    state, effects = told(state, ask, Holder("", 0, 3), 10, 310)
+    state, effects = told(state, ask, RoleHolder("", 0, 3), 10, 310)
     offer = asked(effects)
-    assert isinstance(offer.change, Swap) and state.offered == Term(4)
+    assert isinstance(offer.change, Swap) and state.offered_term == Term(4)
     assert offer.change.expect == 10
 
 
--- a/tests/test_report_changes.py
+++ b/tests/test_report_changes.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from spokeroute.common.ids import Incarnation, Ms
-from spokeroute.dispatch.placement.reports import Reported, reported
+from spokeroute.dispatch.placement.reports import ExchangeReport, exchange_report
 from spokeroute.register.replica.report_changes import MOST_GONE, WHOLE, ReportChanges
 from spokeroute.transport.messages import HeldReport, Probe
 from tests.sim.cluster import Sim
@@ -34,11 +34,11 @@
     """A member's life, and what it knows of the exchange."""
 
     life: int = 1
-    known: Reported | None = None
+    known: ExchangeReport | None = None
     lost: list[int] = field(default_factory=list)
 
     def takes(self, asked: Probe) -> None:
-        self.known = reported(self.known, EXCHANGE, asked, 0, Ms(0))
+        self.known = exchange_report(self.known, EXCHANGE, asked, 0, Ms(0))
 
     def restarts(self) -> None:
         self.life += 1
--- a/tests/test_role_ended.py
+++ b/tests/test_role_ended.py
@@ -8,7 +8,7 @@
 from spokeroute.common.effects import Tell, Tick
 from spokeroute.common.ids import Ms
 from spokeroute.dispatch.placement import role
-from spokeroute.dispatch.placement.role import Holder
+from spokeroute.dispatch.placement.role import RoleHolder
 from spokeroute.register.changes import Read
 from tests.sim.cluster import Sim
 from tests.test_recovery import ME, OTHER, asked, told
@@ -19,7 +19,7 @@
     """A refusal may be read late, when a later life of the process runs and holds the role."""
     state = role.State(ME, 5, (ME, OTHER))
     state, effects = role.step(state, Tick(), Ms(10))
-    state, _ = told(state, asked(effects), Holder(OTHER, 7, 3), 9, 12)
+    state, _ = told(state, asked(effects), RoleHolder(OTHER, 7, 3), 9, 12)
     for life, wanted in ((6, False), (7, True), (6, True)):
         state, _ = role.step(state, role.ProcessEnded(OTHER, life), Ms(20))
         state, effects = role.step(state, Tick(), Ms(30))
@@ -27,7 +27,7 @@
         if not wanted:
             assert not any(isinstance(e, Tell) for e in effects), life
             continue
-        if state.asking and not effects:
+        if state.pending_op_id and not effects:
             continue  # it asks already
         assert isinstance(asked(effects).change, Read)  # a hint is read at a majority first
 
--- a/tests/test_scaling.py
+++ b/tests/test_scaling.py
@@ -8,7 +8,7 @@
 
 from spokeroute.dispatch.configuration.configuration import Service
 from spokeroute.dispatch.placement.table import UP
-from spokeroute.dispatch.scaling.scaler import Demand, boot_fits, wanted_of
+from spokeroute.dispatch.scaling.sizing import Demand, boot_fits, wanted_of
 from tests.sim.acts import holder_of
 from tests.sim.cluster import Sim, configuration
 from tests.test_own_names import EACH, floor_of, own
--- a/tests/test_switches.py
+++ b/tests/test_switches.py
@@ -14,9 +14,9 @@
 from spokeroute.common.settings import SettingsError, read_settings
 from spokeroute.common.switches import NAMES, SwitchError, Switches, read_switches, without
 from spokeroute.dispatch.configuration.configuration import Service
-from spokeroute.dispatch.flare.algorithms import Function, Picture, Site, laaf
-from spokeroute.dispatch.placement.reports import Reported, demand_now
-from spokeroute.dispatch.scaling.scaler import Demand, spares_of, wanted_of
+from spokeroute.dispatch.flare.algorithms import CandidateWorker, Function, LoadSnapshot, laaf
+from spokeroute.dispatch.placement.reports import ExchangeReport, update_demand
+from spokeroute.dispatch.scaling.sizing import Demand, spares_of, wanted_of
 from spokeroute.exchange.entry import State, expect_ms, listed
 from spokeroute.nodes import Start, build_exchange
 from spokeroute.register.replica.compile_queue import RESTS
@@ -95,29 +95,34 @@
     assert wanted_of(SLOW, Demand(400.0, 0, 0), 1, 0, bounded=False) == 134
 
 
-def reported(in_flight: int, at_ms: int) -> Map[str, Reported]:
+def reported(in_flight: int, at_ms: int) -> Map[str, ExchangeReport]:
     row = DemandReport("s", 1, 0, in_flight)
-    return Map({"ex1": Reported(Incarnation(1), Ms(at_ms), {}, (row,))})
+    return Map({"ex1": ExchangeReport(Incarnation(1), Ms(at_ms), {}, (row,))})
 
 
 def test_demand_without_lasting_or_prediction() -> None:
-    crowd = demand_now(Map(), reported(8, 0), 0, 100)["s"]
-    at_once = demand_now(Map(), reported(8, 0), 0, 100, None, Switches(lasting_demand=False))["s"]
+    crowd = update_demand(Map(), reported(8, 0), 0, 100)["s"]
+    at_once = update_demand(Map(), reported(8, 0), 0, 100, None, Switches(lasting_demand=False))[
+        "s"
+    ]
     assert (crowd.level, at_once.level) == (0.0, 8.0)
     later = Map({"s": crowd})
-    assert demand_now(later, reported(8, 900), 900, 100)["s"].gap_ms == 900.0
+    assert update_demand(later, reported(8, 900), 900, 100)["s"].gap_ms == 900.0
     blind = Switches(idle_prediction=False)
-    assert demand_now(later, reported(8, 900), 900, 100, None, blind)["s"].gap_ms == 0.0
+    assert update_demand(later, reported(8, 900), 900, 100, None, blind)["s"].gap_ms == 0.0
 
 
 def test_lists_that_do_not_accumulate_name_one_head_for_all() -> None:
-    picture = Picture(
+    snapshot = LoadSnapshot(
         (("t", 70.0), ("a", 1.0), ("b", 0.0)),
         (Function("x", "t", 40.0), Function("y", "t", 30.0)),
-        tuple((s, (Site("a", (f"{s}1",)), Site("b", (f"{s}2",)))) for s in ("x", "y")),
+        tuple(
+            (s, (CandidateWorker("a", (f"{s}1",)), CandidateWorker("b", (f"{s}2",))))
+            for s in ("x", "y")
+        ),
     )
-    assert [r.workers[0] for r in laaf(picture)] == ["b", "a"]
-    assert [r.workers[0] for r in laaf(picture, accumulates=False)] == ["b", "b"]
+    assert [r.workers[0] for r in laaf(snapshot)] == ["b", "a"]
+    assert [r.workers[0] for r in laaf(snapshot, accumulates=False)] == ["b", "b"]
 
 
 class NoWorld:
--- a/tools/compare.py
+++ b/tools/compare.py
@@ -12,17 +12,17 @@
 from dataclasses import replace
 
 from spokeroute.dispatch.flare.algorithms import (
+    CandidateWorker,
     Function,
-    Limits,
-    Picture,
+    LoadSnapshot,
     Ranking,
-    Site,
+    ShiftLimits,
     laaf,
     rome,
 )
 
 
-def after(picture: Picture, ranks: tuple[Ranking, ...], lost: set[str]) -> dict[str, float]:
+def after(picture: LoadSnapshot, ranks: tuple[Ranking, ...], lost: set[str]) -> dict[str, float]:
     """Workers' utilization once the lost ones' functions went to their first living successor."""
     out = {w: cu for w, cu in picture.cu_pct if w not in lost}
     loads = {(f.service, f.worker): f.load_pct for f in picture.functions}
@@ -35,7 +35,7 @@
     return out
 
 
-def literal(picture: Picture) -> tuple[Ranking, ...]:
+def literal(picture: LoadSnapshot) -> tuple[Ranking, ...]:
     """LAAF with the paper's own reset: eu of a worker as the loop comes to it."""
     eu = dict(picture.cu_pct)
     out: list[Ranking] = []
@@ -54,23 +54,23 @@
     return tuple(out)
 
 
-def deployment(seed: int) -> tuple[Picture, Picture]:
+def deployment(seed: int) -> tuple[LoadSnapshot, LoadSnapshot]:
     """The brief's size: at deployment time, and after the loads moved."""
     rng = random.Random(seed)
     workers = [f"w{i + 1}" for i in range(6)]
     functions: list[Function] = []
-    sites: list[tuple[str, tuple[Site, ...]]] = []
+    sites: list[tuple[str, tuple[CandidateWorker, ...]]] = []
     for number in range(79):
         busy = number < 4
         service = f"s{number:02d}"
         here = rng.sample(workers, 3 if busy else 2)
         load = rng.uniform(6, 14) if busy else rng.uniform(0.0, 1.6)
         functions.extend(Function(service, w, load) for w in here[: 2 if busy else 1])
-        sites.append((service, tuple(Site(w, (f"{service}-{w}",)) for w in here)))
+        sites.append((service, tuple(CandidateWorker(w, (f"{service}-{w}",)) for w in here)))
 
-    def picture(parts: list[Function]) -> Picture:
+    def picture(parts: list[Function]) -> LoadSnapshot:
         cu = {w: sum(f.load_pct for f in parts if f.worker == w) for w in workers}
-        return Picture(tuple(sorted(cu.items())), tuple(parts), tuple(sites))
+        return LoadSnapshot(tuple(sorted(cu.items())), tuple(parts), tuple(sites))
 
     moved = [replace(f, load_pct=f.load_pct * rng.choice((0.3, 1.0, 2.5))) for f in functions]
     return picture(functions), picture(moved)
@@ -78,12 +78,12 @@
 
 def main() -> None:
     """The program's entry."""
-    table1 = Picture(
+    table1 = LoadSnapshot(
         (("TANGO", 70.0), ("LAMBADA", 50.0), ("CHARLIE", 50.0), ("ALPHA", 20.0), ("BETA", 10.0)),
         (Function("A", "TANGO", 40.0), Function("B", "TANGO", 30.0)),
         (
-            ("A", (Site("LAMBADA", ("A-3",)), Site("ALPHA", ("A-2",)))),
-            ("B", (Site("CHARLIE", ("B-3",)), Site("BETA", ("B-2",)))),
+            ("A", (CandidateWorker("LAMBADA", ("A-3",)), CandidateWorker("ALPHA", ("A-2",)))),
+            ("B", (CandidateWorker("CHARLIE", ("B-3",)), CandidateWorker("BETA", ("B-2",)))),
         ),
     )
     unloaded = (
@@ -101,7 +101,7 @@
     for seed in range(200):
         before, now = deployment(seed)
         lists = {"static": laaf(before), "LAAF": laaf(now), "LAAF, the paper's reset": literal(now)}
-        relieved = rome(now, Limits())
+        relieved = rome(now, ShiftLimits())
         for what, lost in (("worker", {"w1"}), ("zone", {"w1", "w4"})):
             for name, ranks in lists.items():
                 worst.setdefault(f"{what} lost, {name}", []).append(
