--- a/spokeroute/dispatch/placement/listing.py
+++ b/spokeroute/dispatch/placement/listing.py
@@ -1,7 +1,7 @@
-"""What the platform's listing shows of the placement table's instances, and what in it is nobody's.
+"""Compares the platform's listing with the placement table: missing, ended and orphan instances.
 
-A listing is late, and has an instance only once it has started. So what it lacks counts only
-for an instance that it had before, or that is up for longer than a listing may be late.
+A listing lags behind, and contains an instance only once it has started. Absence therefore counts
+only for an instance that was listed before, or that has been up for longer than the listing lag.
 """
 
 from __future__ import annotations
@@ -19,23 +19,23 @@
 from spokeroute.dispatch.placement.table import DRAINING, STARTING, UP, Placed, PlacementTable
 
 ORPHAN_MS = 10_000
-RATE_SHARE = 0.8  # of the platform's rate: pages grow in number, and members are replaced
-LATE_LAGS = 2  # a listing this many times later than the platform promises is not reckoned with
+RATE_SHARE = 0.8  # headroom below the platform's rate: listings grow, members are replaced
+LATE_LAGS = 2  # tolerated listing delay, in multiples of the lag that the platform states
 LATE_PLUS_MS = 200
 
 
 @dataclass(frozen=True, slots=True)
 class ListingPresence:
-    """What the listings said of one instance on the placement table."""
+    """Whether recent listings contained one instance of the placement table."""
 
-    since_ms: int  # since when it is looked for
-    listed: bool = False  # some listing had it
-    missing: int = 0  # newer listings in a row that lack it
+    since_ms: int  # when it was first looked for
+    listed: bool = False  # a listing contained it
+    missing: int = 0  # consecutive newer listings without it
 
 
 def list_pause_ms(bounds: Bounds, calls: int, readers: int) -> int:
-    """How long a reader waits from one listing to the next, so that all of them together keep to
-    the rate that the platform takes.
+    """The pause between two listings of one reader, so that all readers together stay below the
+    platform's rate limit.
 
     Example:
         >>> list_pause_ms(Bounds(list_ms=400, list_calls_per_s=25.0), 4, 5)
@@ -54,8 +54,10 @@
     lag_ms: int,
     now_ms: int,
 ) -> Map[str, ListingPresence]:
-    """Take a newer listing in. What starts, and what never was listed and drains, is not
-    looked for: it may be booting yet.
+    """Update each instance's presence from a newer listing.
+
+    An instance that is starting, or that drains and was never listed, is not counted as missing:
+    it may still be booting.
 
     Example:
         len(update_presence(EMPTY_PLACEMENT_TABLE, listing, Map(), 500, 0)) == 0
@@ -78,8 +80,8 @@
 def absent_from(
     placements: PlacementTable, listing: PlatformListed, presence: Mapping[str, ListingPresence]
 ) -> tuple[str, ...]:
-    """Instances that the table has up or draining, and the newest listing has not, or shows as
-    ended or going. Every registry says so with its proofs, whoever holds the role.
+    """Instances that the table has up or draining, and the newest listing lacks or shows as
+    ended or draining. Every core node reports them with its proofs, whoever holds the role.
 
     Example:
         absent_from(EMPTY_PLACEMENT_TABLE, listing, {}) == ()
@@ -108,11 +110,11 @@
     lease_until_ms: Ms,
     now_ms: Ms,
 ) -> tuple[list[PlatformCall], Map[str, int]]:
-    """Stops for instances that are listed but on no table, such as one whose start was late.
+    """Stops for orphans: listed instances that no table contains, such as one of a late start.
 
-    A table has an instance before its start is asked for, so what it lacks for this long is
-    nobody's; unless a start of that service on that worker was never answered: then it may be
-    the one that came of it, under a name that the placement table doesn't know yet.
+    A table contains an instance before its start is requested, so an instance that is missing
+    there for ORPHAN_MS is an orphan. The exception: a start of that service on that worker was
+    never answered, so that the instance may be its result under an id not known yet.
 
     Example:
         orphan_stops(EMPTY_PLACEMENT_TABLE, listing, Map(), 1000, 0)[0] == []
--- a/spokeroute/dispatch/placement/planning_pass.py
+++ b/spokeroute/dispatch/placement/planning_pass.py
@@ -1,4 +1,4 @@
-"""What a planning pass looks at, and what it writes down."""
+"""The inputs, the working state and the result of a planning pass."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Listed:
-    """One instance as the platform lists it, by the platform's own name."""
+    """One instance in the platform's listing, under the platform's own id."""
 
     identity: str
     service: ServiceName
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAnswer:
-    """What the platform said of a start: its name for the instance and, perhaps, the address."""
+    """The platform's answer to a start: its id for the instance and, if known, the address."""
 
     identity: str
     address: str
@@ -44,31 +44,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Seen:
-    """Everything that a planning pass looks at, besides the placement table."""
+    """All inputs of a planning pass besides the placement table."""
 
     now_ms: int
     table: Table
     evacuated: frozenset[str]
     workers: Mapping[WorkerId, ListedWorker]
     listed: Mapping[str, Listed]  # by identity
-    missing: Mapping[str, int]  # instance -> newer listings in a row without it
+    missing: Mapping[str, int]  # instance -> consecutive newer listings without it
     demand: Mapping[str, Demand]
     suspects: frozenset[str]
-    holders: Mapping[NodeId, Incarnation]  # live exchanges and their incarnations
-    ready_ms: Mapping[str, int]  # instance without a holder -> when it may get a new one
+    holders: Mapping[NodeId, Incarnation]  # live exchanges
+    ready_ms: Mapping[str, int]  # instance without a holder -> earliest reassignment
     up_since_ms: Mapping[str, int]
-    surplus_ms: Mapping[str, int]  # service -> since when it has too many
+    surplus_ms: Mapping[str, int]  # service -> since when it has a surplus
     cu_pct: Mapping[str, float]
     shifts: tuple[Shift, ...]
-    avoid: frozenset[tuple[str, str]]  # (service, worker) that routing just left
+    avoid: frozenset[tuple[str, str]]  # (service, worker) shifted recently
     starts_left: int
     next_id: str
-    answered: Mapping[str, StartAnswer] = field(default_factory=dict)  # starts, by our id
-    full: frozenset[str] = frozenset()  # starts that found no room
+    answered: Mapping[str, StartAnswer] = field(default_factory=dict)  # starts, by spokeroute's id
+    full: frozenset[str] = frozenset()  # starts refused for lack of room
     full_workers: frozenset[str] = frozenset()
-    holder_status: HolderStatus = HolderStatus()  # what holders say of the instances they hold
-    starting_ms: Mapping[str, int] = field(default_factory=dict)  # since when an instance starts
-    zones: Mapping[str, str] = field(default_factory=dict)  # exchange -> its zone
+    holder_status: HolderStatus = HolderStatus()  # as reported by the instances' holders
+    starting_ms: Mapping[str, int] = field(default_factory=dict)  # instance -> when its start began
+    zones: Mapping[str, str] = field(default_factory=dict)  # exchange -> zone
     places: Places = Places()
     switches: Switches = Switches()
     addresses: Mapping[NodeId, Address] = field(default_factory=dict)  # of exchanges
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """A decision for the ledger: its kind, what it looked at, what came of it."""
+    """A decision for the ledger: its kind, its inputs and its result."""
 
     kind: str
     inputs: dict[str, object]
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """The next instances, the decisions behind them, and which services have too many."""
+    """The next instances, the decisions that led to them, and the services with a surplus."""
 
     instances: tuple[Placed, ...]
     decisions: tuple[Decision, ...]
@@ -93,7 +93,7 @@
 
 
 class Instances(dict[InstanceId, Placed]):
-    """Instances by id, in order, that can be found by their service."""
+    """Instances by id, in insertion order, indexed by service."""
 
     def __init__(self, instances: tuple[Placed, ...]) -> None:
         super().__init__()
@@ -119,7 +119,7 @@
         return bool(self._by_service.get(service))
 
     def of(self, service: str) -> list[Placed]:
-        """A service's instances, in order.
+        """The instances of a service, in order.
 
         Example:
             >>> Instances(()).of("readings")
@@ -129,7 +129,7 @@
 
 
 class PlanningPass:
-    """A pass's workbook; it lives for one call of ``plan`` and no longer."""
+    """The working state of one call of ``plan``."""
 
     def __init__(self, placements: PlacementTable, seen: Seen) -> None:
         self.seen = seen
@@ -143,21 +143,21 @@
         self.decisions.append(Decision(kind, inputs, output))
 
     def has(self, service: str) -> bool:
-        """Whether a service has an instance, as this pass has them."""
+        """Whether a service has an instance at this point of the pass."""
         return self.instances.has(service)
 
     def of(self, service: str) -> list[Placed]:
-        """A service's instances, as this pass has them."""
+        """The instances of a service at this point of the pass."""
         return self.instances.of(service)
 
     def zone_allowed(self, service: str, zone: str) -> bool:
-        """Whether a service's routes let its calls run in a zone, and their bodies go there."""
+        """Whether the service's routes allow calls and their bodies in a zone."""
         allowed = self.seen.table.regions.get(service, frozenset())
         return self.seen.places.allows(allowed, zone)
 
 
 def identity_of(placed: Placed) -> str:
-    """The platform's name for an instance; ours where it was never told, as it takes ours then.
+    """The platform's id of an instance; spokeroute's id if the platform gave none.
 
     Example:
         identity_of(placed) == placed.id
--- a/spokeroute/dispatch/placement/state.py
+++ b/spokeroute/dispatch/placement/state.py
@@ -1,4 +1,4 @@
-"""The placement role's state, and the small moves on it that its paths share."""
+"""The placement role's state, and the updates of it that several modules share."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 from spokeroute.transport.outcome_messages import OutcomesTold
 
 SHIFT_COOLDOWN_MS = 10_000
-MAX_OUTCOME_KEYS = 4_000  # rows of the sums; past it only those that are there count on
+MAX_OUTCOME_KEYS = 4_000  # once reached, only the keys already present are counted
 OutcomeKey = tuple[str, str, str]
 """Service, outcome and reason."""
 LISTING_RESTART_MS = 5_000
@@ -46,27 +46,27 @@
 
 @dataclass(frozen=True, slots=True)
 class State:
-    """All that placement knows. The table here is the one this node knows to be chosen."""
+    """The placement role's state. ``placements`` is the newest table known to be chosen."""
 
     me: NodeId
     core_ids: frozenset[str] = frozenset()
     term: int = 0
     lease_until_ms: Ms = Ms(-1)
     placements: PlacementTable = EMPTY_PLACEMENT_TABLE
-    placements_version: int = -1  # -1: to be read at the term's start
+    placements_version: int = -1  # -1: read it before deciding
     placements_op_id: str = ""
     reports: Map[str, ExchangeReport] = field(default_factory=Map)
     listing: PlatformListed = PlatformListed(False, 0, (), ())
     listing_ms: Ms = Ms(-(10**6))
     list_asked: bool = False
     list_asked_ms: Ms = Ms(-(10**6))
-    list_calls: int = 1  # of the platform, that the last listing took
+    list_calls: int = 1  # platform calls that the last listing took
     presence: Map[str, ListingPresence] = field(default_factory=Map)
-    empty_listings: int = 0  # listings in a row that lacked everything
+    empty_listings: int = 0  # consecutive listings that lacked everything
     orphan_ms: Map[str, int] = field(default_factory=Map)
     recorded_attempts: Map[str, int] = field(
         default_factory=Map
-    )  # attempts whose successor is entered
+    )  # attempts whose successor is in the ledger
     timers: PlacementTimers = PlacementTimers()
     demand: Map[str, Demand] = field(default_factory=Map)
     demand_ms: Ms = Ms(0)
@@ -74,10 +74,10 @@
     policy: PolicyPrograms = PolicyPrograms()
     evacuated: frozenset[str] = frozenset()
     versions: Map[str, int] = field(default_factory=Map)
-    proved_ms: Ms = Ms(-(10**6))  # this node's own newest proof
+    proved_ms: Ms = Ms(-(10**6))  # this node's newest proof
     next_plan_ms: Ms = Ms(0)
-    holder_words: Map[str, str] = field(default_factory=Map)  # instance -> its holder's newest word
-    planned_ms: Ms = Ms(0)  # when the last pass was
+    holder_words: Map[str, str] = field(default_factory=Map)  # by instance
+    planned_ms: Ms = Ms(0)  # when the last pass ran
     tokens: float = 0.0
     tokens_ms: Ms = Ms(0)
     rankings: tuple[Ranking, ...] = ()
@@ -92,14 +92,14 @@
     bounds: Bounds = Bounds()
     places: Places = Places()
     switches: Switches = Switches()
-    outcomes: Map[OutcomeKey, int] = field(default_factory=Map)  # that exchanges told, summed
+    outcomes: Map[OutcomeKey, int] = field(default_factory=Map)  # reported by exchanges, summed
     starts: StartSteps = StartSteps()
 
 
 def with_successors_taken(
     state: State, node: NodeId, took: tuple[Took, ...]
 ) -> tuple[State, Effects]:
-    """Enter each successor that an exchange took, once.
+    """Record each successor that an exchange chose in the ledger, once.
 
     Example:
         state, effects = with_successors_taken(state, node, probe.took)
@@ -127,7 +127,7 @@
 
 
 def with_outcomes(state: State, node: NodeId, told: OutcomesTold) -> tuple[State, Effects]:
-    """Sum and enter what an exchange told of calls that ended late, refused or failed.
+    """Sum and record the late, refused and failed calls that an exchange reported.
 
     Example:
         state, effects = with_outcomes(state, node, OutcomesTold(1, ()))
@@ -146,8 +146,10 @@
 
 
 def with_listing(state: State, listing: PlatformListed, now_ms: Ms) -> State:
-    """Take a listing in: not an older one (unless the platform began anew), nor, until it
-    persists, one that lacks everything that is up.
+    """Accept a newer listing.
+
+    An older sequence number is ignored unless the platform restarted its numbering. A listing
+    without any running instance is ignored until it repeats.
 
     Example:
         state = with_listing(state, listing, now_ms)
@@ -167,7 +169,7 @@
 
 
 def ledger_entry(state: State, record: Record) -> Tell:
-    """An entry for the ledger, with the term and the versions it was made under.
+    """A ledger entry, with the term and the register versions it was decided under.
 
     Example:
         ledger_entry(state, Record("term", {"holder": state.me}, 1)).actor == "ledger"
@@ -184,7 +186,7 @@
 
 
 def with_proved_copies(state: State, fresh: Fresh) -> State:
-    """Take newly proved copies in; the placement table only where another writes it.
+    """Apply newly proved register copies; the placement table only if another node writes it.
 
     Example:
         state = with_proved_copies(state, fresh)
@@ -211,7 +213,7 @@
 
 
 def workers_by_id(state: State) -> dict[WorkerId, ListedWorker]:
-    """The workers of the newest listing, by id.
+    """The workers in the newest listing, by id.
 
     Example:
         seats_of(State(NodeId("m1"))) == {}
@@ -220,7 +222,7 @@
 
 
 def recently_shifted(state: State, now_ms: Ms) -> frozenset[tuple[str, str]]:
-    """What was shifted so lately that it stays where it is.
+    """The (service, worker) pairs shifted within the cooldown, which must not move again yet.
 
     Example:
         recently_shifted(State(NodeId("m1")), 0) == frozenset()
@@ -229,8 +231,8 @@
 
 
 def lacks_capacity(state: State, probe: Probe) -> bool:
-    """Whether calls wait at an exchange for a service whose instances, those that start
-    included, could not take all that is asked of it at once.
+    """Whether calls wait at an exchange for a service whose instances, including those starting,
+    lack the capacity for all waiting and running calls.
 
     Example:
         lacks_capacity(state, probe)
@@ -251,7 +253,7 @@
 
 
 def with_holder_word(state: State, node: NodeId, incarnation: int, word: HeldWord) -> State | None:
-    """Keep a holder's word on an instance; None where it is not the one that holds it.
+    """Store what a holder reports on an instance; None if the sender does not hold it.
 
     Example:
         with_holder_word(State(NodeId("m1")), NodeId("ex1"), 1, HeldWord("a", "quiet")) is None
