--- a/spokeroute/dispatch/flare/ranking.py
+++ b/spokeroute/dispatch/flare/ranking.py
@@ -27,7 +27,7 @@
     recently_shifted,
     workers_by_id,
 )
-from spokeroute.ledger.entries import Record, picture_doc, ranking_doc
+from spokeroute.ledger.entries import Record, load_snapshot_doc, ranking_doc
 
 RERANK_MS = 1_000
 PUSH_MS = 1_000
@@ -51,7 +51,7 @@
         state = replace(
             state, rankings=rankings, ranked=now, sequence=state.sequence + 1, ranked_ms=now_ms
         )
-        inputs = {**picture_doc(now), "accumulates": accumulates}
+        inputs = {**load_snapshot_doc(now), "accumulates": accumulates}
         record = Record("laaf", inputs, ranking_doc(state.rankings))
         effects.append(ledger_entry(state, record))
         if faults:
@@ -63,7 +63,7 @@
         relief = rome(rested, limits) if state.switches.load_shifts else ShiftDecision(())
         if relief.shifts:
             inputs = {
-                **picture_doc(rested),
+                **load_snapshot_doc(rested),
                 "limits": [limits.overload_pct, limits.migration_pct, limits.gap_pct],
             }
             output = [[s.service, s.from_worker, s.to_worker, s.cause] for s in relief.shifts]
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -26,7 +26,7 @@
 from spokeroute.exchange.pick import pick
 from spokeroute.exchange.successor_lists import SuccessorLists, merged
 from spokeroute.exchange.types import LISTS_AGE_MS, Attempt, Call, CallIn, Phase, Tables
-from spokeroute.ledger.entries import Record, entry_text, picture_doc
+from spokeroute.ledger.entries import Record, entry_text, load_snapshot_doc
 from spokeroute.ledger.replay import replay
 from spokeroute.transport.list_messages import Lists, Successors
 from tests.sim.cluster import Sim, configuration
@@ -170,9 +170,9 @@
     snapshot = LoadSnapshot(
         (("t", 9.0),), (Function("A", "t", 9.0),), (("A", (CandidateWorker("u", ("a",)),)),)
     )
-    good = Record("laaf", picture_doc(snapshot), [["A", "t", ["a"]]], 1)
+    good = Record("laaf", load_snapshot_doc(snapshot), [["A", "t", ["a"]]], 1)
     assert replay([entry_text("1-1-m", good, "")]).difference is None
-    bad = Record("laaf", picture_doc(snapshot), [["A", "t", ["b"]]], 1)
+    bad = Record("laaf", load_snapshot_doc(snapshot), [["A", "t", ["b"]]], 1)
     got = replay([entry_text("1-1-m", bad, "")])
     assert got.difference is not None and "recomputed" in got.difference.reason
 
