--- a/spokeroute/dispatch/configuration/__init__.py
+++ b/spokeroute/dispatch/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration: its models, its checks, and the tables that are compiled from it."""
+"""The configuration: its models, its validation, and the tables compiled from it."""
--- a/spokeroute/dispatch/configuration/route_table.py
+++ b/spokeroute/dispatch/configuration/route_table.py
@@ -1,4 +1,4 @@
-"""A configuration's routes and services as tables, ready to decide by."""
+"""Lookup tables compiled from a configuration."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HostRoutes:
-    """One host's routes by path."""
+    """The routes of one host, by path."""
 
     exact: Mapping[str, Route]
     prefixes: Mapping[str, Route]  # the path's part before /*
     below: Mapping[str, Route]  # the path's part before /**
 
     def route(self, path: str) -> Route | None:
-        """An exact one first, then the longest prefix.
+        """Find the route of a path: an exact match first, then the longest prefix.
 
         Example:
             HostRoutes({}, {}, {}).route("/a") is None
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Table:
-    """A configuration, ready to decide by."""
+    """A compiled configuration."""
 
     version: Version
     digest: str
@@ -49,14 +49,14 @@
     name: str = ""
     limits: Limits = Limits()
     aim_ms: Mapping[str, int] = field(default_factory=dict)
-    """The least aim of the routes to a service; one without any is not in it."""
+    """The lowest target latency of the routes to a service; absent if no route has one."""
     regions: Mapping[str, frozenset[str]] = field(default_factory=dict)
-    """The regions of a service whose routes name some."""
+    """The allowed regions of services whose routes name any."""
     tenants: TenantKeys | None = None
-    """None: calls need no key."""
+    """None: no call needs a key."""
 
     def route(self, path: str, host: str = "") -> Route | None:
-        """The route of a path at a host: the host's own first, then those of any host.
+        """Find the route of a path: routes of the host first, then those of any host.
 
         Example:
             table.route("/readings/7")
@@ -72,7 +72,7 @@
 
 
 def run_ms(service: str, table: Table | None) -> int:
-    """The longest time a handed call may run at an instance of a service.
+    """The longest time that a call may run at an instance of a service.
 
     Example:
         >>> run_ms("readings", None)
@@ -83,7 +83,7 @@
 
 
 def service_of(route: Route, call_id: str) -> str:
-    """The service that a call on a route goes to: by weight where the route is split.
+    """The service for a call on a route, chosen by weight if the route is split.
 
     Example:
         >>> service_of(Route("/a", "s"), "c1")
--- a/spokeroute/dispatch/configuration/table_reader.py
+++ b/spokeroute/dispatch/configuration/table_reader.py
@@ -1,8 +1,7 @@
-"""Reads configurations into tables, row by row: a row that stood in the configuration before is not
-read again.
+"""Compiles stored configurations into tables, reusing the rows of the previous configuration.
 
-A configuration has thousands of rows and changes by one or a few at a time. Read whole at each
-change, on each node, it would take most of a small machine's processor.
+A configuration has thousands of rows, and a change affects one or a few of them. Parsing all rows
+at each change, on each node, would take most of a small machine's processor.
 """
 
 from __future__ import annotations
@@ -29,38 +28,40 @@
 from spokeroute.register.stamps import NUMBER
 
 LIST_BEGINS, LIST_ENDS = "[\n", "\n]"
-DOCUMENT = f',"document":{LIST_BEGINS}'  # what an adapter was sent: nothing is decided by it
+DOCUMENT_FIELD = (
+    f',"document":{LIST_BEGINS}'  # the adapter's original document, not needed in tables
+)
 
 
 @dataclass(frozen=True, slots=True)
 class Rows:
-    """One list of a configuration by its rows: a JSON text, and what was read of it."""
+    """The rows of one list of a configuration: JSON text to parsed value."""
 
     read: Mapping[str, Any]
-    anew: int = 0
-    """How many of them were not known before."""
+    new_count: int = 0
+    """The number of rows that had to be parsed."""
 
 
 def read_rows(texts: Iterable[str], known: Mapping[str, Any], read: Callable[[Any], Any]) -> Rows:
-    """The rows of a list; those that are known are taken as they are.
+    """Parse the rows of a list, reusing known rows.
 
     Example:
         >>> read_rows(["1", "2"], {"1": "one"}, str)
-        Rows(read={'1': 'one', '2': '2'}, anew=1)
+        Rows(read={'1': 'one', '2': '2'}, new_count=1)
     """
     found: dict[str, Any] = {}
-    anew = 0
+    new_count = 0
     for text in texts:
         row = known.get(text)
         if row is None:
             row = read(json.loads(text))
-            anew += 1
+            new_count += 1
         found[text] = row
-    return Rows(found, anew)
+    return Rows(found, new_count)
 
 
 class TableReader:
-    """One process's reader of configurations; it keeps the rows of the last one.
+    """Compiles configurations; keeps the rows of the last one for reuse.
 
     Example:
         TableReader().read(Version(1), "", value).services == {}
@@ -73,7 +74,7 @@
 
     @property
     def rows(self) -> int:
-        """How many rows the last table has.
+        """The number of rows of the last table.
 
         Example:
             >>> TableReader().rows
@@ -83,42 +84,42 @@
 
     @property
     def rows_read(self) -> int:
-        """How many rows the last table took to read.
+        """The number of rows parsed for the last table.
 
         Example:
             >>> TableReader().rows_read
             0
         """
-        return sum(each.anew for each in (self._routes, self._services, self._tenants))
+        return sum(each.new_count for each in (self._routes, self._services, self._tenants))
 
     def read(self, version: Version, digest: str, value: bytes) -> Table:
-        """A register's value as tables; for an edge thread, not for the loop.
+        """Compile a register value. Run it on an I/O thread, because it may block the event loop.
 
         Example:
             reader.read(copy.version, copy.digest, value)
         """
         text = unpack(value, NUMBER.size).decode()
-        decided, found, _ = text.partition(DOCUMENT)
-        routes, decided = _cut_list(decided, "routes")
-        services, decided = _cut_list(decided, "services")
-        tenants, decided = _cut_list(decided, "tenants")
+        decided, found, _ = text.partition(DOCUMENT_FIELD)
+        routes, decided = _split_off_list(decided, "routes")
+        services, decided = _split_off_list(decided, "services")
+        tenants, decided = _split_off_list(decided, "tenants")
         raw = json.loads(decided + "}" if found else decided)["configuration"]
-        routes = routes or _texts_of(raw["routes"])
-        services = services or _texts_of(raw["services"])
+        routes = routes or _json_rows(raw["routes"])
+        services = services or _json_rows(raw["services"])
         self._routes = read_rows(routes, self._routes.read, _route_of)
         self._services = read_rows(services, self._services.read, Service.from_dict)
         self._tenants = read_rows(tenants, self._tenants.read, _tenant_of)
         table = _table_of(
             version, digest, raw, self._routes.read.values(), self._services.read.values()
         )
-        # Configurations of earlier releases have no tenants; one that lists none has no keys.
+        # Earlier releases stored no tenants; an empty list means that no key is valid.
         if raw.get("tenants") is None:
             return table
         return replace(table, tenants=TenantKeys.of(self._tenants.read.values()))
 
 
 def build_table(version: Version, digest: str, value: bytes) -> Table:
-    """A register's value as tables, read whole.
+    """Compile a register value without reuse.
 
     Example:
         build_table(Version(1), "", value).services == {}
@@ -126,9 +127,11 @@
     return TableReader().read(version, digest, value)
 
 
-def _cut_list(text: str, name: str) -> tuple[list[str], str]:
-    """The rows of a list that stands an entry a line, and the text with that list empty. Values
-    that were kept by earlier releases have no such lists: there is nothing to cut."""
+def _split_off_list(text: str, name: str) -> tuple[list[str], str]:
+    """Split off the rows of a list with one entry per line; returns them and the text without them.
+
+    Values stored by earlier releases have no such lists and are returned unchanged.
+    """
     begin = f'"{name}":{LIST_BEGINS}'
     before, found, rest = text.partition(begin)
     if not found:
@@ -137,12 +140,12 @@
     return rows.split(",\n") if rows else [], f'{before}"{name}":[]{after}'
 
 
-def _texts_of(entries: list[Any]) -> list[str]:
+def _json_rows(entries: list[Any]) -> list[str]:
     return [json.dumps(entry) for entry in entries]
 
 
 def _route_of(raw: Mapping[str, Any]) -> Route:
-    """A route that was checked before it was kept, built without the checks."""
+    """Build a route from stored, validated JSON, without validating it again."""
     split = tuple(Share(x["service"], x["weight"]) for x in raw["split"])
     return Route(
         raw["path"], raw["service"], tuple(raw["methods"]), raw["repeatable"],
@@ -153,7 +156,7 @@
 
 
 def _tenant_of(raw: Mapping[str, Any]) -> Tenant:
-    """A tenant that was checked before it was kept."""
+    """Build a tenant from stored, validated JSON."""
     return Tenant(raw["name"], tuple(raw["keyDigests"]), raw["priority"], tuple(raw["regions"]))
 
 
@@ -182,8 +185,8 @@
 
 
 def _regions_of(named: list[frozenset[str]]) -> frozenset[str]:
-    """Where a service's instances stand: in the regions that all its routes allow, or, where these
-    have none in common, in those of any."""
+    """The regions for a service's instances: those that all its routes allow or, if there are none,
+    those that any route allows."""
     return frozenset.intersection(*named) or frozenset.union(*named)
 
 
--- a/spokeroute/dispatch/configuration/tenant_keys.py
+++ b/spokeroute/dispatch/configuration/tenant_keys.py
@@ -1,7 +1,7 @@
-"""Whose key a caller shows. A configuration keeps digests of keys (SHA-256), never the keys.
+"""Identifies the tenant of a caller's key. A configuration stores SHA-256 digests, never keys.
 
-A digest is found by its beginning, in a table, and compared whole in constant time (``hmac``): how
-long that takes tells nothing of a key. The credential is a bearer token (RFC 6750, section 2.1).
+A digest is looked up by its prefix and compared in constant time (``hmac``), so that timing reveals
+nothing about a key. The credential is a bearer token (RFC 6750, section 2.1).
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 
 from spokeroute.dispatch.configuration.models import Tenant
 
-MOST_KEY_CHARS = 512
-KEY = re.compile(rf"[\x21-\x7e]{{1,{MOST_KEY_CHARS}}}")
+MAX_KEY_CHARS = 512
+KEY = re.compile(rf"[\x21-\x7e]{{1,{MAX_KEY_CHARS}}}")
 BEARER = re.compile(r"bearer +(\S+)", re.IGNORECASE)
 DIGEST = re.compile(r"[0-9a-f]{64}")
-FOUND_BY = 16  # characters of a digest
+DIGEST_PREFIX_CHARS = 16
 
 Entry = tuple[str, Tenant]
-"""A key's digest, and its tenant."""
+"""A key's digest and its tenant."""
 
 
 def key_digest(key: str) -> str:
-    """The digest of a key, as configurations have it.
+    """The digest of a key, as stored in configurations.
 
     Example:
         >>> key_digest("k1")[:16]
@@ -35,7 +35,7 @@
 
 
 def is_key(key: str) -> bool:
-    """Whether a text can be a key: 1 to 512 visible characters of ASCII.
+    """Whether a text can be a key: 1 to 512 visible ASCII characters.
 
     Example:
         >>> is_key("k1"), is_key("k 1"), is_key("")
@@ -45,7 +45,7 @@
 
 
 def key_of(credential: str) -> str:
-    """The key in a caller's credential; empty where there is none, or more than one.
+    """The key in a caller's credential; empty if there is none or more than one.
 
     Example:
         >>> key_of("Bearer k1"), key_of("Basic k1"), key_of("Bearer k1, Bearer k2")
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantKeys:
-    """The tenants of a configuration, by their keys.
+    """The tenants of a configuration, indexed by key digest.
 
     Example:
         >>> keys = TenantKeys.of([Tenant("acme", (key_digest("k1"),))])
@@ -65,11 +65,11 @@
         ('acme', None)
     """
 
-    by_beginning: Mapping[str, tuple[Entry, ...]]
+    by_digest_prefix: Mapping[str, tuple[Entry, ...]]
 
     @classmethod
     def of(cls, tenants: Iterable[Tenant]) -> TenantKeys:
-        """The table of these tenants' keys.
+        """Build the index of these tenants' keys.
 
         Example:
             >>> TenantKeys.of([]).tenant("Bearer k1") is None
@@ -78,12 +78,12 @@
         found: dict[str, tuple[Entry, ...]] = {}
         for tenant in tenants:
             for digest in tenant.key_digests:
-                beginning = digest[:FOUND_BY]
+                beginning = digest[:DIGEST_PREFIX_CHARS]
                 found[beginning] = (*found.get(beginning, ()), (digest, tenant))
         return cls(found)
 
     def tenant(self, credential: str) -> Tenant | None:
-        """The tenant whose key a credential holds; None where nobody has it.
+        """The tenant of the key in a credential; None if the key is unknown.
 
         Example:
             keys.tenant("Bearer k1")
@@ -92,7 +92,7 @@
         if not key:
             return None
         digest = key_digest(key)
-        for known, tenant in self.by_beginning.get(digest[:FOUND_BY], ()):
+        for known, tenant in self.by_digest_prefix.get(digest[:DIGEST_PREFIX_CHARS], ()):
             if hmac.compare_digest(known, digest):
                 return tenant
         return None
--- a/spokeroute/dispatch/configuration/validation.py
+++ b/spokeroute/dispatch/configuration/validation.py
@@ -1,4 +1,4 @@
-"""What in a configuration is read well and can't rule: each fault with its path and remedy."""
+"""Semantic validation of a decoded configuration; each fault has a path and a remedy."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 )
 
 MAX_WORKER_MB = 8_192
-MOST_NAME_CHARS = 128
-MOST_PRIORITY = 1_000
+MAX_NAME_CHARS = 128
+MAX_PRIORITY = 1_000
 METHODS = ("GET", "POST", "PUT", "PATCH", "DELETE", "HEAD", "OPTIONS")
 
 
 def check_configuration(configuration: Configuration, zones: tuple[str, ...]) -> list[Fault]:
-    """What is read well but can't rule.
+    """Validate a configuration whose fields have the right types.
 
     Example:
         check_configuration(Configuration((), (), ()), ()) == []
@@ -70,7 +70,7 @@
 
 
 def check_regions(configuration: Configuration, regions: frozenset[str]) -> list[Fault]:
-    """Routes and tenants that name a region which this deployment does not have.
+    """Find routes and tenants that name a region unknown to this deployment.
 
     Example:
         >>> check_regions(Configuration((), (), ()), frozenset())
@@ -137,7 +137,7 @@
         ("timeoutMs", route.timeout_ms, 1, 3_600_000),
         ("aimMs", route.aim_ms, 0, 3_600_000),
         ("attempts", route.attempts, 1, 100),
-        ("priority", route.priority, 0, MOST_PRIORITY),
+        ("priority", route.priority, 0, MAX_PRIORITY),
     ):
         if not low <= value <= high:
             faults.append(Fault(f"{path}.{field_name}", f"is {value}", f"choose {low} to {high}"))
@@ -149,20 +149,20 @@
 
 
 def _check_tenants(tenants: tuple[Tenant, ...]) -> list[Fault]:
-    """Names and keys stand once; no fault tells a key, nor its digest."""
+    """Names and keys must be unique. No fault contains a key or its digest."""
     faults: list[Fault] = []
     names: set[str] = set()
     holder: dict[str, int] = {}
     for i, tenant in enumerate(tenants):
         path, name = f"tenants[{i}]", tenant.name
         if not _is_header_value(name):
-            remedy = f"use 1 to {MOST_NAME_CHARS} visible characters of ASCII, blanks between them"
+            remedy = f"use 1 to {MAX_NAME_CHARS} visible characters of ASCII, blanks between them"
             faults.append(Fault(f"{path}.name", "is no name", remedy))
         elif name in names:
             faults.append(Fault(f"{path}.name", f"{name!r} stands twice", "name it once"))
         names.add(name)
-        if not 0 <= tenant.priority <= MOST_PRIORITY:
-            remedy = f"choose 0 to {MOST_PRIORITY}"
+        if not 0 <= tenant.priority <= MAX_PRIORITY:
+            remedy = f"choose 0 to {MAX_PRIORITY}"
             faults.append(Fault(f"{path}.priority", f"is {tenant.priority}", remedy))
         for at, digest in enumerate(tenant.key_digests):
             where = f"{path}.keyDigests[{at}]"
@@ -176,9 +176,9 @@
 
 
 def _is_header_value(name: str) -> bool:
-    """Whether a name can be told to an instance in a header's line."""
+    """Whether a name can be sent to an instance as a header value."""
     shown = name.isascii() and name.isprintable() and name == name.strip()
-    return shown and 0 < len(name) <= MOST_NAME_CHARS
+    return shown and 0 < len(name) <= MAX_NAME_CHARS
 
 
 def _check_limits(limits: Limits) -> list[Fault]:
--- a/spokeroute/dispatch/configuration/value.py
+++ b/spokeroute/dispatch/configuration/value.py
@@ -1,4 +1,4 @@
-"""A configuration as a register's value: packed lines, behind the operator's number."""
+"""The stored form of a configuration: the operator's version number, then packed JSON lines."""
 
 from __future__ import annotations
 
@@ -18,8 +18,10 @@
 def pack_configuration(
     configuration: Configuration, apply_id: str, number: int = 0, document: str = ""
 ) -> bytes:
-    """A configuration as a register's value; the apply's id keeps two sends apart. ``number`` is
-    the operator's own version, ``document`` what an adapter was sent, kept as it was.
+    """Serialize a configuration as a register value.
+
+    ``apply_id`` distinguishes two requests with the same content. ``number`` is the operator's own
+    version; ``document`` is the original document that an adapter received.
 
     Example:
         unpack_configuration(pack_configuration(Configuration((), (), ()), "a"))[1] == "a"
@@ -34,7 +36,7 @@
 
 
 def _chunks(document: str) -> list[str]:
-    """A document's text, cut where one of its objects ends: versions of it share most chunks."""
+    """Split a document after each object, so that its versions share most chunks."""
     return CHUNK_END.split(document) if document else []
 
 
@@ -43,7 +45,7 @@
 
 
 def _by_lines(raw: Mapping[str, Any]) -> str:
-    """An object as JSON, with each entry of its lists on a line of its own."""
+    """Serialize an object with one line for each entry of its lists."""
     parts = (
         f"{json.dumps(name)}:" + (_list_by_lines(value) if isinstance(value, list)
                                   else json.dumps(value, separators=(",", ":")))
@@ -53,8 +55,8 @@
 
 
 def content_of(configuration: Configuration, document: str = "") -> str:
-    """The digest of what an operator sent: of the document, where there is one. Blanks and the
-    order of fields make no other content.
+    """The digest of an operator's request: of the document if there is one, else of the
+    configuration. It does not depend on whitespace or the order of fields.
 
     Example:
         content_of(configuration, '{"a": 1}') == content_of(configuration, '{ "a":1 }')
@@ -65,12 +67,12 @@
 
 
 def _unpack(value: bytes) -> Any:
-    # The orders that are remembered stand behind the packed part.
+    # The recorded orders follow the packed part.
     return json.loads(unpack(value, NUMBER.size))
 
 
 def unpack_configuration(value: bytes) -> tuple[dict[str, Any], str]:
-    """The configuration as it was sent, and its apply's id.
+    """The configuration as it was sent, and its apply id.
 
     Example:
         unpack_configuration(value)[0]["services"]
@@ -80,7 +82,7 @@
 
 
 def document_of(value: bytes) -> str:
-    """The document that an adapter was sent; empty where there was none.
+    """The original document that an adapter received; empty if there was none.
 
     Example:
         document_of(pack_configuration(Configuration((), (), ()), "a", 1, "{}")) == "{}"
@@ -89,8 +91,7 @@
 
 
 def sent_of(value: bytes) -> tuple[int, str]:
-    """The number and the document of the very order that made a value; 0 and empty where it had
-    none.
+    """The number and the document of the order that wrote a value; 0 and empty if it had none.
 
     Example:
         sent_of(pack_configuration(Configuration((), (), ()), "a", 1, "{}")) == (1, "{}")
--- a/spokeroute/dispatch/flare/__init__.py
+++ b/spokeroute/dispatch/flare/__init__.py
@@ -1,1 +1,1 @@
-"""FLARe: load by worker, LAAF's ranked lists and ROME's shifts."""
+"""FLARe: worker loads, LAAF's ranked failover lists and ROME's load shifts."""
--- a/spokeroute/dispatch/flare/list_push.py
+++ b/spokeroute/dispatch/flare/list_push.py
@@ -1,5 +1,5 @@
-"""The push of LAAF's lists to the exchanges: what changed since the last push, and whole lists for
-who has not got those."""
+"""Pushes LAAF's lists to the exchanges: changes since the last push, or full lists to exchanges
+that did not get the last push."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LastPush:
-    """What was pushed last, and to which lives of exchanges."""
+    """The content of the last push, and the exchange incarnations it was sent to."""
 
     term: int = 0
     sequence: int = -1
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListsHeader:
-    """What each push names besides the lists."""
+    """The fields of a push besides the lists."""
 
     term: int
     sequence: int
@@ -37,7 +37,7 @@
 
 
 def full_lists(head: ListsHeader, rankings: tuple[Ranking, ...]) -> Lists:
-    """Lists that stand for themselves.
+    """All lists, independent of any earlier push.
 
     Example:
         >>> full_lists(ListsHeader(1, 1, 1, 3), ()).base
@@ -47,7 +47,7 @@
 
 
 def changed_lists(head: ListsHeader, pushed: LastPush, rankings: tuple[Ranking, ...]) -> Lists:
-    """The lists that differ from those of the last push; an empty one is gone.
+    """The lists that differ from the last push; an empty list removes the entry.
 
     Example:
         >>> changed_lists(ListsHeader(1, 2, 1, 3), LastPush(1, 1), ()).base
@@ -66,7 +66,7 @@
     rankings: tuple[Ranking, ...],
     holders: Mapping[NodeId, Incarnation],
 ) -> tuple[LastPush, list[Effect]]:
-    """One push to every exchange: one message for all that were told last, another for the rest.
+    """Push to every exchange: the changes to those that got the last push, else full lists.
 
     Example:
         pushed, effects = push(head, pushed, rankings, live_holders(reports, now_ms))
--- a/spokeroute/dispatch/flare/ranking.py
+++ b/spokeroute/dispatch/flare/ranking.py
@@ -1,4 +1,4 @@
-"""FLARe on the ordinary path: LAAF's lists, pushed ahead of failures, and ROME's shifts."""
+"""Runs LAAF and ROME, and pushes LAAF's lists to the exchanges before any failure occurs."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def update_rankings(state: State, table: Table, now_ms: Ms) -> tuple[State, Effects]:
-    """LAAF when a utilization moved past the trigger or the candidates changed; then ROME.
+    """Run LAAF and ROME if utilizations or candidates changed enough, and push the lists when due.
 
     Example:
         state, effects = update_rankings(state, table, now_ms)
@@ -45,7 +45,7 @@
         state.evacuated, suspects, state.policy,
     )  # fmt: skip
     effects: list[Effect] = []
-    if _moved(state, now, table.thresholds.trigger_pct, now_ms):
+    if _must_rerank(state, now, table.thresholds.trigger_pct, now_ms):
         accumulates = state.switches.accumulated_utilization
         rankings = laaf(now, accumulates)
         state = replace(
@@ -76,12 +76,12 @@
     elif now_ms - state.pushed_ms < PUSH_MS:
         return state, tuple(effects)
     holders = live_holders(state.reports, now_ms)
-    pushed, sends = push(_head(state, now_ms), state.pushed, state.rankings, holders)
+    pushed, sends = push(_lists_header(state, now_ms), state.pushed, state.rankings, holders)
     effects.extend(sends)
     return replace(state, pushed=pushed, pushed_ms=now_ms), tuple(effects)
 
 
-def _head(state: State, now_ms: Ms) -> ListsHeader:
+def _lists_header(state: State, now_ms: Ms) -> ListsHeader:
     return ListsHeader(
         state.term,
         state.sequence,
@@ -91,20 +91,20 @@
 
 
 def resend_full_lists(state: State, node: NodeId, now_ms: Ms) -> tuple[State, Effects]:
-    """An exchange missed a push: it gets the lists of the last one whole.
+    """Send the full lists of the last push to an exchange that missed it.
 
     Example:
         state, effects = resend_full_lists(state, NodeId("ex1"), now_ms)
     """
     if not state.term or state.pushed.term != state.term:
         return state, ()
-    head = replace(_head(state, now_ms), sequence=state.pushed.sequence)
+    head = replace(_lists_header(state, now_ms), sequence=state.pushed.sequence)
     return state, (Send(node, full_lists(head, state.pushed.rankings)),)
 
 
-def _moved(state: State, now: LoadSnapshot, trigger_pct: float, now_ms: Ms) -> bool:
-    """Whether LAAF runs again: at once when a utilization moved past the trigger, within a
-    second when candidates came or went (exchanges pass over heads that are not is_fit)."""
+def _must_rerank(state: State, now: LoadSnapshot, trigger_pct: float, now_ms: Ms) -> bool:
+    """Whether LAAF must run again: at once if a utilization changed by more than the trigger, after
+    RERANK_MS if candidates changed (exchanges skip successors that are not eligible)."""
     old = state.ranked
     if old is None:
         return True
--- a/spokeroute/dispatch/scaling/__init__.py
+++ b/spokeroute/dispatch/scaling/__init__.py
@@ -1,1 +1,1 @@
-"""Scaling: how many instances a service has, and where the time of a start goes."""
+"""Scaling: the number of instances of a service, and the duration of each step of a start."""
--- a/spokeroute/dispatch/scaling/service_scaling.py
+++ b/spokeroute/dispatch/scaling/service_scaling.py
@@ -1,4 +1,4 @@
-"""A planning pass's part for one service: how many, which start, which drain, which are routed."""
+"""Scaling of one service in a planning pass: instances to start, to drain and to route to."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 
 
 def is_inactive(work: PlanningPass, service: Service) -> bool:
-    """Whether there is nothing to decide on a service: it has no instance, nobody calls it, and it
-    keeps none. Most of a large deployment's services are so most of the time.
+    """Whether a service needs no decision: no instance, no calls, and none to be kept. Skipping
+    these saves work: most services of a large deployment are inactive most of the time.
 
     Example:
         is_inactive(work, service)
@@ -42,13 +42,13 @@
 
 
 def _kept_for_ms(work: PlanningPass, service: Service) -> int:
-    """The least aim that an instance is kept for; 0 where none is."""
+    """The lowest target latency for which an instance is kept; 0 if none."""
     kept = work.seen.switches.warm_for_short_aims
     return work.seen.table.aim_ms.get(service.name, 0) if kept else 0
 
 
 def scale(work: PlanningPass, service: Service) -> None:
-    """Start, drain and route one service's instances.
+    """Start, drain and route the instances of one service.
 
     Example:
         scale(work, service)
@@ -81,14 +81,14 @@
 
 
 def _bounded(work: PlanningPass) -> bool:
-    """Whether services grow by a bounded number at once."""
+    """Whether the growth of a service in one step is limited."""
     return work.seen.switches.bounded_growth
 
 
 def _inputs(
     work: PlanningPass, service: Service, demand: Demand, here: list[Placed], running: int
 ) -> dict[str, object]:
-    """What a decision on a service looked at, for its ledger entry."""
+    """The inputs of a scaling decision, for its ledger entry."""
     seen = work.seen
     return {
         "service": service.to_dict(),
@@ -145,7 +145,7 @@
 
 
 def _kept_free_mb(work: PlanningPass) -> int:
-    """Memory that stays free for services without an instance."""
+    """Memory reserved for services without an instance."""
     seen = work.seen
     if not seen.switches.room_for_sleepers:
         return 0
@@ -162,7 +162,7 @@
 
 
 def _route(work: PlanningPass, service: Service, up: list[Placed], wanted: int) -> None:
-    """Keep as many routed as are wanted; promote where the load is least."""
+    """Route to as many instances as are wanted, on the least loaded workers first."""
     seen = work.seen
     live = [work.instances[p.id] for p in up if work.instances[p.id].state == UP]
     routed = [p for p in live if p.routed]
--- a/spokeroute/dispatch/scaling/start_progress.py
+++ b/spokeroute/dispatch/scaling/start_progress.py
@@ -1,4 +1,4 @@
-"""Which steps of starts a newly chosen placement table ends."""
+"""Finds the steps of starts that a newly chosen placement table completes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def started_instance(decision: Decision) -> str:
-    """The instance that a decision to start is about.
+    """The instance that a start decision creates.
 
     Example:
         >>> started_instance(Decision("start", {}, {"instance": "a", "worker": "w"}))
@@ -22,8 +22,8 @@
 def record_start_steps(
     starts: StartSteps, before: PlacementTable, placements: PlacementTable, now_ms: Ms
 ) -> StartSteps:
-    """The steps that end where a table was chosen: a start is written, a holder named, or an
-    instance marked as up.
+    """Record the steps that a newly chosen table completes: the start is written, the holder is
+    assigned, or the instance is marked as up.
 
     Example:
         record_start_steps(StartSteps(), EMPTY_PLACEMENT_TABLE, placements, now_ms).steps
--- a/spokeroute/dispatch/scaling/start_steps.py
+++ b/spokeroute/dispatch/scaling/start_steps.py
@@ -1,7 +1,7 @@
-"""Where the time of a start goes, step by step, at the member that places.
+"""Measures the duration of each step of a start, on the node that holds the placement role.
 
-Each step ends at an event that this member sees anyway; its time is counted into a histogram of
-fixed bounds. What a call's own exchange adds before and after is counted there
+Each step ends at an event that this node handles anyway; its duration goes into a histogram with
+fixed bounds. The time a call spends at its exchange before and after is measured there
 (``exchange/waits.py``).
 """
 
@@ -22,12 +22,12 @@
 class StartStep(StrEnum):
     """A step of a start, by the event that ends it."""
 
-    WRITE = "write"  # decided -> the start is chosen by a majority
-    ASK = "ask_platform"  # chosen -> the platform is asked
-    PLATFORM = "platform"  # asked -> the platform answered
-    HOLDER = "name_holder"  # answered -> a holder is named by a majority
-    BOOT = "boot"  # named -> the holder reached the instance
-    UP = "mark_up"  # reached -> the table says that it is up
+    WRITE = "write"  # decided -> chosen by a majority
+    ASK = "ask_platform"  # chosen -> requested from the platform
+    PLATFORM = "platform"  # requested -> answered by the platform
+    HOLDER = "name_holder"  # answered -> assignment of a holder chosen by a majority
+    BOOT = "boot"  # assigned -> instance reached by the holder
+    UP = "mark_up"  # reached -> marked as up in the placement table
 
 
 ORDER = {step: number for number, step in enumerate(StartStep)}
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """A start under way: the step that ended last, and when."""
+    """A start in progress: the last completed step and its time."""
 
     step: StartStep | None
     at_ms: Ms
@@ -43,13 +43,13 @@
 
 @dataclass(frozen=True, slots=True)
 class StartSteps:
-    """Starts under way, and the histogram of each step."""
+    """Starts in progress, and the duration histogram of each step."""
 
     open: Map[str, Start] = field(default_factory=Map)
     steps: Map[str, Histogram] = field(default_factory=Map)
 
     def begun(self, instance: str, now_ms: Ms) -> StartSteps:
-        """A start was decided.
+        """Begin measuring a start.
 
         Example:
             >>> len(StartSteps().begun("a", Ms(5)).open)
@@ -60,8 +60,7 @@
         return replace(self, open=self.open.set(instance, Start(None, now_ms)))
 
     def passed(self, instance: str, step: StartStep, now_ms: Ms) -> StartSteps:
-        """A step of a start ended; one that ended before, or of no start that is known, changes
-        nothing.
+        """Record the end of a step. Repeated or earlier steps and unknown starts are ignored.
 
         Example:
             >>> steps = StartSteps().begun("a", Ms(5)).passed("a", StartStep.WRITE, Ms(25)).steps
--- a/tests/test_key_secrecy.py
+++ b/tests/test_key_secrecy.py
@@ -16,7 +16,7 @@
 from spokeroute.common.answers import Answer
 from spokeroute.dispatch.configuration.models import Tenant
 from spokeroute.dispatch.configuration.tenant_keys import (
-    MOST_KEY_CHARS,
+    MAX_KEY_CHARS,
     TenantKeys,
     is_key,
     key_digest,
@@ -137,7 +137,7 @@
         ("k1", 0, key_digest("k1") + "\n"),
         ("\n", 2, ""),
         ("k 1\n", 2, ""),
-        ("k" * (MOST_KEY_CHARS + 1), 2, ""),
+        ("k" * (MAX_KEY_CHARS + 1), 2, ""),
     ],
 )
 def test_the_client_prints_a_keys_digest(typed: str, code: int, printed: str) -> None:
