--- a/spokeroute/dispatch/configuration/table_reader.py
+++ b/spokeroute/dispatch/configuration/table_reader.py
@@ -28,9 +28,8 @@
 from spokeroute.register.stamps import NUMBER
 
 LIST_BEGINS, LIST_ENDS = "[\n", "\n]"
-DOCUMENT_FIELD = (
-    f',"document":{LIST_BEGINS}'  # the adapter's original document, not needed in tables
-)
+# The adapter's original document is not needed in tables.
+DOCUMENT_FIELD = f',"document":{LIST_BEGINS}'
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/named_tables.py
+++ b/tests/named_tables.py
@@ -1,4 +1,4 @@
-"""Placement tables by their versions, and what members name of them, for tests of the replica."""
+"""Sample placement tables and their copies by version, for tests of the replica."""
 
 from __future__ import annotations
 
--- a/tests/test_allowed_regions.py
+++ b/tests/test_allowed_regions.py
@@ -1,4 +1,4 @@
-"""A route that names regions: its calls run there and nowhere else, whatever fails or changes."""
+"""Calls of a route with allowed regions run only there, whatever fails or changes."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 PATH = "/small/1"
 
 
-def limited(regions: list[str] | None) -> dict[str, Any]:
-    """The small deployment, with regions on the route of one small service."""
-    document = configuration(name=f"limited to {regions}")
+def configuration_limited_to(regions: list[str] | None) -> dict[str, Any]:
+    """The small deployment, with allowed regions on the route of one small service."""
+    document = configuration(name=f"configuration_limited_to to {regions}")
     for route in document["routes"]:
         if route["path"] == PATH and regions is not None:
             route["regions"] = regions
@@ -29,11 +29,11 @@
 
 @pytest.fixture(params=[1, 2, 3])
 def far(request: pytest.FixtureRequest) -> Iterator[Sim]:
-    """Three regions, one zone each."""
+    """Three regions with one zone each."""
     made = Sim(
         request.param, 6, regions=REGIONS, bounds=Bounds(rejection_safe=True, stale_ms=9_000)
     )
-    made.settle(limited(["c"]))
+    made.settle(configuration_limited_to(["c"]))
     yield made
     made.close()
 
@@ -63,7 +63,7 @@
 def test_a_change_moves_calls_to_the_regions_that_it_names(far: Sim) -> None:
     calls(far, 6)
     for regions, zones in (["s"], {"south"}), (["n", "s"], {"north", "south"}):
-        told = far.apply(limited(regions))
+        told = far.apply(configuration_limited_to(regions))
         assert far.up_to(lambda told=told: told.status == 200, 5_000)  # type: ignore[misc]
         far.run(3_000)
         since_ms = far.env.now
@@ -73,7 +73,7 @@
         assert {run.zone for run in runs_since(far, since_ms)} <= zones
 
 
-def test_where_every_allowed_zone_is_evacuated_calls_are_refused_at_once(far: Sim) -> None:
+def test_calls_are_refused_at_once_if_every_allowed_zone_is_evacuated(far: Sim) -> None:
     calls(far, 6)
     told = far.evacuate("centre", True)
     assert far.up_to(lambda: told.status == 200, 5_000)
@@ -96,7 +96,7 @@
     return made
 
 
-def test_a_lost_region_takes_its_routes_with_it_and_brings_them_back(far: Sim) -> None:
+def test_routes_of_a_lost_region_fail_until_it_is_back(far: Sim) -> None:
     calls(far, 6)
     for node in far.nodes:
         if node.zone == "centre":
@@ -121,10 +121,10 @@
     assert {run.zone for run in runs_since(far, since_ms)} == {"centre"}
 
 
-def test_an_unknown_region_is_named() -> None:
+def test_an_unknown_region_is_reported() -> None:
     import json
 
-    got = read_configuration(json.dumps(limited(["moon"])).encode(), ())
+    got = read_configuration(json.dumps(configuration_limited_to(["moon"])).encode(), ())
     assert isinstance(got, Configuration)
     faults = check_regions(got, frozenset(REGIONS.values()))
     assert [fault.path for fault in faults] == ["routes[2].regions"]
--- a/tests/test_asleep.py
+++ b/tests/test_asleep.py
@@ -1,4 +1,4 @@
-"""A planning pass leaves out inactive services: what it decides is the same."""
+"""Skipping inactive services in a planning pass does not change its decisions."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from spokeroute.dispatch.scaling.sizing import Demand, ListedWorker
 
 NOW_MS = 100_000
-SEATS = {WorkerId(f"w{at}"): ListedWorker(WorkerId(f"w{at}"), ZoneName("north"), 8_192)
+WORKERS = {WorkerId(f"w{at}"): ListedWorker(WorkerId(f"w{at}"), ZoneName("north"), 8_192)
          for at in range(3)}  # fmt: skip
 DEMANDS = st.builds(
     Demand,
@@ -62,7 +62,7 @@
     )  # fmt: skip
     empty: dict[Any, Any] = {}
     return Seen(
-        NOW_MS, table, frozenset(), SEATS, empty, empty, {"s": demand} if demand else {},
+        NOW_MS, table, frozenset(), WORKERS, empty, empty, {"s": demand} if demand else {},
         frozenset(), {NodeId("ex1"): Incarnation(1)}, empty, empty, empty, empty, (), frozenset(),
         100, "n",
     )  # fmt: skip
@@ -75,7 +75,7 @@
     st.sampled_from((0, 300, 5_000)),
     st.sampled_from(("", "", STARTING, UP, DRAINING)),
 )
-def test_nothing_would_be_decided_on_a_service_that_is_asleep(
+def test_scaling_decides_nothing_for_an_inactive_service(
     service: Service, demand: Demand | None, aim_ms: int, state: str
 ) -> None:
     instances = (placed(state),) if state else ()
@@ -87,7 +87,7 @@
     assert (dict(work.instances), work.decisions, work.surplus) == (before, [], set())
 
 
-def test_who_is_called_or_kept_is_not_asleep() -> None:
+def test_a_called_or_kept_service_is_not_inactive() -> None:
     quick = Service("s", 128, 1, start_ms=200, idle_ms=3_000, spares=0)
     idle, called = Demand(), Demand(last_arrival_ms=NOW_MS)
     floor = PlacementTable(Term(1), 1, ())
--- a/tests/test_cold_starts_far.py
+++ b/tests/test_cold_starts_far.py
@@ -1,4 +1,4 @@
-"""Cold starts over three regions, while the placement table changes all the time."""
+"""Cold starts over three regions while the placement table changes constantly."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 WORK_MS = 40.0
 CALLS = 200
 GAP_MS = 45.0
-OVER_BOOT_MS = {50: 170, 95: 265, 99: 310}  # of a cold start, over its boot and its run, by share
+OVER_BOOT_MS = {50: 170, 95: 265, 99: 310}  # latency beyond boot and run time, by percentile
 
 
 @pytest.fixture(params=[1, 2, 3, 4])
@@ -33,7 +33,7 @@
     made.close()
 
 
-def test_a_cold_start_takes_its_boot_and_little_more(far: Sim) -> None:
+def test_a_cold_start_takes_little_longer_than_the_boot(far: Sim) -> None:
     asked = []
     for number in range(CALLS):
         asked.append(far.call(f"/rare/{number * 7 % SERVICES}", far.exchanges[number % 9]))
--- a/tests/test_cut_off_role.py
+++ b/tests/test_cut_off_role.py
@@ -1,4 +1,5 @@
-"""A registry that held the placement role: cut off, or frozen and woken under an older term."""
+"""A holder of the placement role that is partitioned off, or frozen and resumed under an older
+term, must not call the platform after its lease."""
 
 from __future__ import annotations
 
@@ -39,9 +40,9 @@
     return any(p.state == "draining" for p in holder.state("placement").placements.instances)
 
 
-def alone_with_the_role(each: Cut, way: str, for_ms: float) -> tuple[Node, float, int]:
-    """Cut the holder of the role off, alone, while there is much to start and to stop: what it
-    marked as draining right before comes due after its lease."""
+def partitioned_role_holder(each: Cut, way: str, for_ms: float) -> tuple[Node, float, int]:
+    """Partition off the holder of the role while there is much to start and to stop. Instances that
+    it marked as draining just before become due for a stop after its lease."""
     sim = each.sim
     holder = holder_of(sim)
     term = holder.state("role").term
@@ -65,11 +66,11 @@
 
 @WAYS
 @RUNS
-def test_a_cut_off_holder_of_the_role_stops_with_its_lease(each: Cut, way: str) -> None:
+def test_a_partitioned_role_holder_stops_when_its_lease_expires(each: Cut, way: str) -> None:
     sim = each.sim
     sim.traffic(60, 30_000)
     sim.run(1_000)
-    holder, cut_ms, term = alone_with_the_role(each, way, 20_000)
+    holder, cut_ms, term = partitioned_role_holder(each, way, 20_000)
     assert calls_of(sim, holder, cut_ms + LEASE_MS + 50) == []
     assert any(c[1] != holder.name and c[0] > cut_ms + LEASE_MS for c in sim.platform.calls)
     new = [f for at_ms, t, f in sim.floors if t > term]
@@ -82,9 +83,9 @@
     assert judges.vanished_get_nothing(sim.log()) == []
 
 
-def endless(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The planted fault: a lease without end, and a floor that counts as known although a write
-    of it failed. Either check alone keeps a cut-off holder from the platform."""
+def inject_endless_lease(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Inject a fault: a lease without end, and a placement table treated as known although its
+    write failed. Either check alone keeps a partitioned holder from calling the platform."""
     honest = placement._on_placements_settled
 
     def kept(state, outcome, *rest):  # type: ignore[no-untyped-def]
@@ -97,17 +98,17 @@
 
 
 @ONE
-def test_a_lease_without_end_is_found(each: Cut, monkeypatch: pytest.MonkeyPatch) -> None:
-    endless(monkeypatch)
+def test_an_endless_lease_is_detected(each: Cut, monkeypatch: pytest.MonkeyPatch) -> None:
+    inject_endless_lease(monkeypatch)
     sim = each.sim
     sim.traffic(60, 30_000)
     sim.run(1_000)
-    holder, cut_ms, _ = alone_with_the_role(each, "both", 20_000)
+    holder, cut_ms, _ = partitioned_role_holder(each, "both", 20_000)
     assert calls_of(sim, holder, cut_ms + LEASE_MS + 50)
 
 
 def frozen_at_a_call(sim: Sim) -> Node:
-    """The holder of the role, frozen between the launch of a platform call and its sending."""
+    """The holder of the role, frozen after it launched a platform call and before it is sent."""
     holder = holder_of(sim)
     honest = holder.launch
 
@@ -119,7 +120,7 @@
     with pytest.MonkeyPatch.context() as patched:
         patched.setattr(holder, "launch", launch)
         readings = [s.worker for s in sim.platform.servers.values() if s.service == "readings"]
-        for worker in dict.fromkeys(readings):  # until one is missed: there may be one too many
+        for worker in dict.fromkeys(readings):  # until one is replaced: there may be a surplus
             sim.platform.crash(worker)
             if sim.up_to(lambda: holder.frozen, 4_000):
                 break
@@ -128,8 +129,8 @@
     return holder
 
 
-def woken_calls(each: Cut) -> list[tuple[float, str, str, str]]:
-    """Freeze a holder at a platform call until another holds the role, and wake it."""
+def calls_after_resume(each: Cut) -> list[tuple[float, str, str, str]]:
+    """Freeze a holder at a platform call until another node holds the role, then resume it."""
     sim = each.sim
     holder = frozen_at_a_call(sim)
     term = holder.state("role").term
@@ -142,13 +143,13 @@
 
 
 @RUNS
-def test_a_frozen_holder_wakes_under_an_older_term(each: Cut) -> None:
-    """Its platform call, and whatever round was under way, count for nothing."""
+def test_a_frozen_holder_resumes_under_an_older_term(each: Cut) -> None:
+    """Its pending platform call is not sent, and its open register rounds have no effect."""
     sim = each.sim
     sim.traffic(60, 50_000)
     sim.run(2_000)
     for _ in range(3):
-        assert woken_calls(each) == []
+        assert calls_after_resume(each) == []
         sim.run(6_000)
     terms = [t for _, t, _ in sorted(sim.floors, key=lambda x: x[0])]
     assert terms == sorted(terms)
@@ -157,8 +158,8 @@
 
 
 @ONE
-def test_a_woken_call_is_found(each: Cut, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_call_after_resume_is_detected(each: Cut, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(role, "TERM_LEASE_MS", 10**9)
     each.sim.traffic(60, 20_000)
     each.sim.run(2_000)
-    assert woken_calls(each)
+    assert calls_after_resume(each)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,5 +1,5 @@
-"""Faults of whole groups of machines at the brief's shape: nine exchanges, three registries,
-four busy and 75 small services on six workers, about 150 calls a second, for both deployments."""
+"""Failures of whole groups of machines at full deployment size: nine exchanges, three registries,
+four busy and 75 small services on six workers, and about 150 calls a second."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 
 
 @pytest.mark.parametrize(("day", "blank"), [(TOOLUUR, False), (ORGANISMO, True)], indirect=["day"])
-def test_everything_falls_and_comes_back(day: Sim, blank: bool) -> None:
-    """All processes at once, two seconds away; the same with one disk blank."""
+def test_all_nodes_stop_and_return(day: Sim, blank: bool) -> None:
+    """All processes stop at once for two seconds; also with one disk blank."""
     fall_and_return(day, day.nodes, 2_000, day.registries[1] if blank else None)
     day.run(18_000)
     read_back(day)
@@ -36,9 +36,9 @@
 
 
 @BOTH
-def test_the_day_ends_with_a_fault(day: Sim) -> None:
-    """Applies in a storm, two evacuations and a restore, everything killed right after some
-    acknowledgement, and one disk blank when it comes back."""
+def test_all_nodes_are_killed_during_configuration_changes(day: Sim) -> None:
+    """A burst of applies with two evacuations and a restore; all processes are killed right after
+    an acknowledgement, and one disk is blank on return."""
     name = "tooluur" if day.sync_ms < 1 else "organismo"
     for number in range(12):
         day.apply({**deployment(name), "name": f"storm-{number}"}, registry=number % 3)
@@ -62,8 +62,8 @@
     indirect=["day"],
 )
 def test_slow_disks(day: Sim, sync_ms: float, count: int) -> None:
-    """The role's holder's disk, or two of three, slow for 8 s; a worker falls meanwhile, an
-    operator applies, and callers send keys."""
+    """The disk of the role's holder, or two of three disks, are slow for 8 s. Meanwhile a worker
+    fails, an operator applies, and callers send idempotency keys."""
     first = day.registries.index(holder_of(day))
     fault_ms = day.env.now
     slow(day, [day.registries[(first + i) % 3] for i in range(count)], sync_ms, 8_000)
@@ -83,9 +83,9 @@
 
 
 @pytest.mark.parametrize("day", [ORGANISMO], indirect=True)
-def test_all_registries_swapped_and_old_settings_kept(day: Sim) -> None:
-    """Three new machines one after the other; then an exchange and a registry restart with
-    their unchanged settings, whose seeds are all dead, and the first machines never return."""
+def test_all_registries_are_replaced_with_old_seed_settings(day: Sim) -> None:
+    """All three registries are replaced one by one. Then an exchange and a registry restart with
+    unchanged settings, whose seeds are the old machines that never return."""
     for index in range(3):
         new = swap_registry(day, index, f"new{index + 1}")
         ready = day.up_to(lambda n=new: n.state("acceptor").synced_votes, 20_000)  # type: ignore[misc]
@@ -95,7 +95,7 @@
     registry.seeds = [f"10.0.0.{i + 1}:1" for i in range(3)]
     day.traffic(120, 45_000)
     day.run(6_000)
-    fall_and_return(day, (exchange, registry), 20_000)  # longer than views remember
+    fall_and_return(day, (exchange, registry), 20_000)  # longer than peer views keep entries
     day.run(18_000)
     served = [a for a in day.asked if a.exchange == exchange.name and a.at_ms > day.env.now - 4_000]
     assert served and all(a.status == 200 for a in served if a.at_ms < day.env.now - 1_000)
@@ -103,8 +103,8 @@
 
 
 @BOTH
-def test_a_zone_falls_and_comes_back(day: Sim) -> None:
-    """A registry, three exchanges and two workers of one zone go at once."""
+def test_a_zone_fails_and_returns(day: Sim) -> None:
+    """A registry, three exchanges and two workers of one zone fail at once."""
     gone = [n for n in day.nodes if n.zone == "centre"]
     for node in gone:
         node.machine_up = False
@@ -128,8 +128,8 @@
     [(TOOLUUR, "registry"), (TOOLUUR, "exchange"), (ORGANISMO, "acker")],
     indirect=["day"],
 )
-def test_an_evacuation_then_any_machine_lost(day: Sim, lost: str) -> None:
-    """The machine goes at the moment of the acknowledgement, its disk too."""
+def test_a_machine_is_lost_right_after_an_evacuation(day: Sim, lost: str) -> None:
+    """The machine and its disk are lost at the moment of the acknowledgement."""
     told = day.evacuate("north", True, registry=1)
     assert day.up_to(lambda: told.status == 200, 3_000)
     node = {"registry": day.registries[0], "exchange": day.exchanges[0],
--- a/tests/test_flare.py
+++ b/tests/test_flare.py
@@ -12,19 +12,19 @@
 )
 
 
-def site(worker: str, instance: str) -> CandidateWorker:
+def candidate(worker: str, instance: str) -> CandidateWorker:
     return CandidateWorker(worker, (instance,))
 
 
 def test_laaf_follows_dynamic_load_in_table1() -> None:
     """A-1 (40%) and B-1 (30%) on TANGO; DY-1 and DY-2 (50% each) came to LAMBADA and
-    CHARLIE. The static order was A-3 then A-2 and B-3 then B-2; LAAF turns both round."""
+    CHARLIE. The static order was A-3 then A-2 and B-3 then B-2; LAAF reverses both."""
     before = LoadSnapshot(
         (("TANGO", 70.0), ("LAMBADA", 0.0), ("CHARLIE", 0.0), ("ALPHA", 20.0), ("BETA", 10.0)),
         (Function("A", "TANGO", 40.0), Function("B", "TANGO", 30.0)),
         (
-            ("A", (site("LAMBADA", "A-3"), site("ALPHA", "A-2"))),
-            ("B", (site("CHARLIE", "B-3"), site("BETA", "B-2"))),
+            ("A", (candidate("LAMBADA", "A-3"), candidate("ALPHA", "A-2"))),
+            ("B", (candidate("CHARLIE", "B-3"), candidate("BETA", "B-2"))),
         ),
     )
     assert [r.instances for r in laaf(before)] == [("A-3", "A-2"), ("B-3", "B-2")]
@@ -36,17 +36,17 @@
     ranks = laaf(loaded)
     assert [r.instances for r in ranks] == [("A-2", "A-3"), ("B-2", "B-3")]
     after = {"ALPHA": 20.0 + 40.0, "BETA": 10.0 + 30.0}
-    assert max(after.values()) <= 60.0  # the paper: none is greater than 60%
+    assert max(after.values()) <= 60.0  # the paper: no worker exceeds 60%
 
 
 def test_colocated_functions_get_different_successors() -> None:
-    """Two functions of one worker with the same candidates: the first head's expected
-    utilization grows before the second is ranked."""
-    both = (site("a", "x-a"), site("b", "x-b"))
+    """Two functions of one worker have the same candidates: the load of the first is added to its
+    successor before the second is ranked."""
+    both = (candidate("a", "x-a"), candidate("b", "x-b"))
     snapshot = LoadSnapshot(
         (("t", 70.0), ("a", 10.0), ("b", 15.0)),
         (Function("x", "t", 40.0), Function("y", "t", 30.0)),
-        (("x", both), ("y", (site("a", "y-a"), site("b", "y-b")))),
+        (("x", both), ("y", (candidate("a", "y-a"), candidate("b", "y-b")))),
     )
     assert [r.workers[0] for r in laaf(snapshot)] == ["a", "b"]
 
@@ -62,13 +62,18 @@
     snapshot = LoadSnapshot(
         (("BETA", 90.0), ("LAMBADA", 0.0), ("ALPHA", 10.0), ("CHARLIE", 30.0)),
         (Function("A", "BETA", 40.0), Function("H", "BETA", 50.0)),
-        (("A", (site("BETA", "A-2"), site("LAMBADA", "A-3"), site("ALPHA", "A-4"))),),
+        (
+            (
+                "A",
+                (candidate("BETA", "A-2"), candidate("LAMBADA", "A-3"), candidate("ALPHA", "A-4")),
+            ),
+        ),
     )
-    relief = rome(snapshot, ShiftLimits())
-    assert [(s.service, s.to_worker, s.cause) for s in relief.shifts] == [
+    decision = rome(snapshot, ShiftLimits())
+    assert [(s.service, s.to_worker, s.cause) for s in decision.shifts] == [
         ("A", "LAMBADA", "overload")
     ]
-    eu = dict(relief.eu_pct)
+    eu = dict(decision.eu_pct)
     assert (eu["BETA"], eu["LAMBADA"]) == (50.0, 40.0)
 
 
@@ -82,57 +87,57 @@
             Function("B", "ALPHA", 30.0),
             Function("D", "ALPHA", 10.0),
         ),
-        (("A", (site("BETA", "A-2"),)), ("B", (site("PRINCE", "B-3"),))),
+        (("A", (candidate("BETA", "A-2"),)), ("B", (candidate("PRINCE", "B-3"),))),
     )
-    relief = rome(snapshot, ShiftLimits())
-    assert [(s.service, s.to_worker) for s in relief.shifts] == [("B", "PRINCE")]
-    assert dict(relief.eu_pct)["ALPHA"] == 50.0
+    decision = rome(snapshot, ShiftLimits())
+    assert [(s.service, s.to_worker) for s in decision.shifts] == [("B", "PRINCE")]
+    assert dict(decision.eu_pct)["ALPHA"] == 50.0
 
 
 def test_imbalance_moves_d_and_does_not_thrash() -> None:
     """Case 3: D (10%) on ALPHA at 50%, its replica on LAMBADA at 0: 50 is over 120% of 10.
-    A second look after the move leaves it there."""
-    sites = (("D", (site("ALPHA", "D-1"), site("LAMBADA", "D-2"))),)
+    A second run after the move leaves it there."""
+    candidates = (("D", (candidate("ALPHA", "D-1"), candidate("LAMBADA", "D-2"))),)
     snapshot = LoadSnapshot(
         (("ALPHA", 50.0), ("LAMBADA", 0.0)),
         (Function("A", "ALPHA", 40.0), Function("D", "ALPHA", 10.0)),
         sites,
     )
-    relief = rome(snapshot, ShiftLimits())
-    assert [(s.service, s.to_worker, s.cause) for s in relief.shifts] == [
+    decision = rome(snapshot, ShiftLimits())
+    assert [(s.service, s.to_worker, s.cause) for s in decision.shifts] == [
         ("D", "LAMBADA", "imbalance")
     ]
     after = LoadSnapshot(
-        relief.eu_pct, (Function("A", "ALPHA", 40.0), Function("D", "LAMBADA", 10.0)), sites
+        decision.eu_pct, (Function("A", "ALPHA", 40.0), Function("D", "LAMBADA", 10.0)), candidates
     )
     assert rome(after, ShiftLimits()).shifts == ()
 
 
-def test_imbalance_leaves_a_move_that_would_not_shrink_the_gap() -> None:
-    """One function of 50% between two workers: moving it only turns the gap round."""
-    sites = (("A", (site("a", "A-1"), site("b", "A-2"))),)
-    snapshot = LoadSnapshot((("a", 50.0), ("b", 0.0)), (Function("A", "a", 50.0),), sites)
+def test_imbalance_rejects_a_move_that_would_not_shrink_the_gap() -> None:
+    """With one function of 50% on two workers, moving it would only reverse the gap."""
+    candidates = (("A", (candidate("a", "A-1"), candidate("b", "A-2"))),)
+    snapshot = LoadSnapshot((("a", 50.0), ("b", 0.0)), (Function("A", "a", 50.0),), candidates)
     assert rome(snapshot, ShiftLimits(migration_pct=80.0)).shifts == ()
 
 
-def test_imbalance_leaves_a_small_gap() -> None:
-    """Seen on a fleet: a service with one call now and then moved at each sample, since any
-    gap is over 120% of next to nothing."""
-    sites = (("A", (site("a", "A-1"), site("b", "A-2"))),)
+def test_imbalance_ignores_a_small_gap() -> None:
+    """Guards against a service with few calls moving at each sample: any gap exceeds 120% of a
+    load near zero."""
+    candidates = (("A", (candidate("a", "A-1"), candidate("b", "A-2"))),)
     snapshot = LoadSnapshot(
-        (("a", 9.0), ("b", 0.0)), (Function("A", "a", 0.1), Function("B", "a", 8.9)), sites
+        (("a", 9.0), ("b", 0.0)), (Function("A", "a", 0.1), Function("B", "a", 8.9)), candidates
     )
     assert rome(snapshot, ShiftLimits()).shifts == ()
     assert len(rome(snapshot, ShiftLimits(gap_pct=0.0)).shifts) == 1
 
 
-def test_veto_holds_and_wish_moves() -> None:
-    sites = (("A", (site("b", "A-2"),)),)
-    snapshot = LoadSnapshot((("a", 90.0), ("b", 0.0)), (Function("A", "a", 40.0),), sites)
-    vetoed = LoadSnapshot(snapshot.cu_pct, snapshot.functions, sites, vetoes=(("A", "a"),))
+def test_program_veto_blocks_and_request_causes_a_shift() -> None:
+    candidates = (("A", (candidate("b", "A-2"),)),)
+    snapshot = LoadSnapshot((("a", 90.0), ("b", 0.0)), (Function("A", "a", 40.0),), candidates)
+    vetoed = LoadSnapshot(snapshot.cu_pct, snapshot.functions, candidates, vetoes=(("A", "a"),))
     assert rome(vetoed, ShiftLimits()).shifts == ()
-    calm = LoadSnapshot((("a", 30.0), ("b", 0.0)), (Function("A", "a", 10.0),), sites)
+    calm = LoadSnapshot((("a", 30.0), ("b", 0.0)), (Function("A", "a", 10.0),), candidates)
     high = ShiftLimits(migration_pct=1000.0)
     assert rome(calm, high).shifts == ()
-    wished = LoadSnapshot(calm.cu_pct, calm.functions, sites, wishes=(("A", "a"),))
+    wished = LoadSnapshot(calm.cu_pct, calm.functions, candidates, wishes=(("A", "a"),))
     assert [s.cause for s in rome(wished, high).shifts] == ["program"]
--- a/tests/test_list_push.py
+++ b/tests/test_list_push.py
@@ -1,4 +1,4 @@
-"""Successor lists go out as changes; an exchange that missed some asks for whole ones."""
+"""Successor lists are pushed as changes; an exchange that missed a push asks for full lists."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 @given(st.lists(st.tuples(RANKED, st.booleans()), min_size=1, max_size=12))
-def test_who_got_each_push_or_asked_has_the_whole_lists(
+def test_an_exchange_has_full_lists_after_each_push_or_request(
     pushes: list[tuple[dict[tuple[str, str], tuple[str, ...]], bool]],
 ) -> None:
     pushed, held, heard = LastPush(), SuccessorLists(), SuccessorLists()
@@ -57,7 +57,7 @@
             assert ask is None and dict(held.ranked) == fit
 
 
-def test_only_what_changed_goes_to_those_who_were_told() -> None:
+def test_only_changes_go_to_exchanges_that_got_the_last_push() -> None:
     many = {(f"s{number}", "w1"): (f"i{number}",) for number in range(100)}
     pushed, effects = push(ListsHeader(1, 1, 1, 2), LastPush(), rankings(many), HOLDERS)
     assert len(lists_to([*effects], "ex1").successors) == 100
@@ -68,10 +68,10 @@
     news = lists_to([*effects], "ex1")
     assert news.base == 1
     assert {(s.service, s.ranked) for s in news.successors} == {("s3", ("i9",)), ("s4", ())}
-    assert lists_to([*effects], "ex2").base == -1  # another life has none
+    assert lists_to([*effects], "ex2").base == -1  # a new incarnation has no lists yet
 
 
-def test_changes_of_lists_that_are_not_here_are_asked_for_now_and_then() -> None:
+def test_full_lists_are_requested_periodically_after_a_missed_push() -> None:
     news = Lists(2, 9, 1, 0, (), 3, 8)
     held, ask = merged(SuccessorLists(), news, Ms(1_000))
     assert ask == ListsAsk(0, -1) and held.sequence == -1
@@ -79,7 +79,7 @@
     assert merged(held, news, Ms(1_000 + ASK_AGAIN_MS))[1] == ask
 
 
-def test_an_exchange_that_was_cut_off_has_the_lists_again(sim: Sim) -> None:
+def test_an_exchange_recovers_its_lists_after_a_partition(sim: Sim) -> None:
     sim.settle()
     lone = sim.exchanges[0]
     sim.traffic(60, 12_000)
@@ -96,7 +96,7 @@
     assert all(dict(each.ranked) == now for each in lists)
 
 
-def test_a_message_to_many_is_the_same_bytes_to_each() -> None:
+def test_a_message_to_several_nodes_is_decoded_equally_by_each() -> None:
     news, other = Lists(2, 9, 1, 0, (), 3, 8), Lists(2, 10, 1, 0, (), 3, 9)
     for message in (news, news, other, news):
         for node in ("ex1", "a longer name"):
--- a/tests/test_listing_rate.py
+++ b/tests/test_listing_rate.py
@@ -1,4 +1,4 @@
-"""The platform takes so many calls for listings a second from all nodes together."""
+"""All nodes together keep to the platform's rate limit for listing calls."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def calls_in(readers: int, calls: int, ok: bool, for_ms: int) -> int:
-    """The calls of all readers, each of whom gets its listing 30 ms after it asked."""
+    """The number of calls by all readers, if each listing takes 30 ms."""
     bounds = Bounds(list_ms=400, list_calls_per_s=RATE)
     core = frozenset(f"m{number}" for number in range(readers))
     state = replace(State(NodeId("m0"), core, bounds=bounds), list_calls=calls)
@@ -40,11 +40,11 @@
 
 @pytest.mark.parametrize(("readers", "calls"), [(3, 2), (5, 4), (6, 12), (9, 5)])
 @pytest.mark.parametrize("ok", [True, False])
-def test_readers_keep_to_the_rate_together(readers: int, calls: int, ok: bool) -> None:
+def test_all_readers_together_stay_below_the_rate(readers: int, calls: int, ok: bool) -> None:
     made = calls_in(readers, calls, ok, 20_000)
-    assert made <= RATE * 20 + readers * calls  # the first of each comes at once
+    assert made <= RATE * 20 + readers * calls  # the first call of each reader is immediate
     assert made >= min(0.5 * RATE * 20, readers * calls * 20)
 
 
-def test_a_platform_without_a_rate_is_asked_as_often_as_is_wanted() -> None:
+def test_a_platform_without_a_rate_is_listed_at_the_configured_interval() -> None:
     assert list_pause_ms(Bounds(list_ms=400), 12, 9) == 400
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -1,5 +1,5 @@
-"""Real processes on machines that go wrong: wall clocks that jump by hours, peers that
-vanish without a reset. Everything is waited for; nothing is timed."""
+"""Real processes on faulty machines: wall clocks that jump by hours, and peers that vanish without
+closing their connections. The tests wait for conditions and measure no times."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tools.ports import free_ports
 from tools.relay import Relay
 
-# Real processes draw free ports: two fleets at once may draw the same one.
+# Real processes choose free ports, so that two concurrent fleets could choose the same one.
 pytestmark = pytest.mark.xdist_group("fleet")
 
 HOUR_S = 3_600
@@ -31,7 +31,7 @@
 
 
 def launched(fleet: Fleet, name: str, *options: str) -> None:
-    """Let one process be started by the launcher."""
+    """Start one process through the launcher."""
     command = fleet.commands[name]
     at = command.index("spokeroute")
     fleet.commands[name] = [*command[: at - 1], "-m", "tools.launch", *options, "--",
@@ -46,7 +46,7 @@
 
 
 def answer_on(sock: socket.socket) -> bytes:
-    """One whole answer, so that the next one on the connection begins at its head."""
+    """Read one complete answer, so that the next one on the connection starts at its head."""
     data = b""
     while b"\r\n\r\n" not in data:
         got = sock.recv(65536)
@@ -70,8 +70,8 @@
 
 
 def test_wall_clocks_jump_by_hours(fleet: Fleet, tmp_path: Path) -> None:
-    """Ahead by ten hours, then back by thirty: idle connections stay, a half-read request is
-    read to its end, keys hold, applies and the ledger go on."""
+    """The clocks jump ahead by ten hours, then back by thirty. Idle connections stay open, a
+    half-read request is completed, idempotency keys hold, and applies and the ledger continue."""
     clock = tmp_path / "clock"
     clock.write_text("0")
     for name in fleet.commands:
@@ -87,9 +87,9 @@
     with socket.create_connection((host, int(port)), timeout=30) as sock:
         for jump_s in (10 * HOUR_S, -30 * HOUR_S, 0):
             sock.sendall(whole[:60])
-            until_served(fleet, "ex1", "/port-ins")  # so that the half was read before the jump
+            until_served(fleet, "ex1", "/port-ins")  # the first half is read before the jump
             clock.write_text(str(jump_s))
-            for name in ("ex1", "ex2", "ex3"):  # many turns of each loop by the new clock
+            for name in ("ex1", "ex2", "ex3"):  # many event loop iterations with the new clock
                 for _ in range(5):
                     until_served(fleet, name, "/port-ins")
             sock.sendall(whole[60:])
@@ -101,9 +101,9 @@
     assert replayed.returncode == 0, replayed.stderr
 
 
-def test_a_machine_that_vanishes_without_a_reset(fleet: Fleet) -> None:
-    """A relay before an exchange's trunk goes dumb: connections stay open and nothing gets
-    through. Others serve on, also what it held; when the relay forwards again, it serves."""
+def test_a_machine_that_vanishes_without_closing_connections(fleet: Fleet) -> None:
+    """A relay in front of an exchange's trunk drops all traffic but keeps connections open. The
+    other exchanges take over its instances; once the relay forwards again, the exchange serves."""
     command = fleet.commands["ex2"]
     real = f"127.0.0.1:{free_ports(1)[0]}"
     relay = Relay(real)
--- a/tests/test_own_names.py
+++ b/tests/test_own_names.py
@@ -1,5 +1,6 @@
-"""A platform that names instances itself: identity and address come with the start's answer,
-connects are refused until the instance is up, the listing is late and lacks what boots."""
+"""A platform that assigns its own instance ids: the answer to a start gives identity and address,
+connections are refused until the instance is up, and the listing is late and omits booting
+instances."""
 
 from __future__ import annotations
 
@@ -47,7 +48,7 @@
 
 SERVICE = Service("s", 128, 1, start_ms=300)
 TABLE = build_table(Version(1), "", pack_configuration(Configuration((), (SERVICE,), ()), "a"))
-REFUSED_MOST = 10  # for what a guest and the next holder send at once
+REFUSED_MOST = 10  # calls sent at the same time by a guest and the next holder
 EACH = pytest.mark.parametrize("own", SEEDS, indirect=True)
 
 
@@ -60,7 +61,7 @@
     made.close()
 
 
-def floor_of(sim: Sim) -> list[Placed]:
+def placements_of(sim: Sim) -> list[Placed]:
     return list(sim.floors[-1][2].instances)
 
 
@@ -69,7 +70,7 @@
 
 
 @EACH
-def test_ordinary_traffic_where_the_platform_names_instances(own: Sim) -> None:
+def test_ordinary_traffic_with_platform_assigned_ids(own: Sim) -> None:
     own.settle()
     own.traffic(60, 8_000)
     own.run(8_000)
@@ -77,16 +78,16 @@
     assert level(own.log(), 0, 1e9) > 0.995
     assert stops(own) == []
     listed = {s.identity for s in own.platform.servers.values()}
-    assert {p.identity for p in floor_of(own)} == listed
+    assert {p.identity for p in placements_of(own)} == listed
     assert len(own.platform.known) == len(listed)
 
 
 @EACH
-def test_an_instance_is_up_before_the_listing_has_it(own: Sim) -> None:
-    """Its holder, in its own zone, reaches it; the listing comes 0.8 s later at the earliest."""
+def test_an_instance_is_up_before_it_is_listed(own: Sim) -> None:
+    """Its holder, in the same zone, reaches it; the listing shows it at least 0.8 s later."""
     own.settle()
     zones = {e.name: e.zone for e in own.exchanges}
-    assert all(zones[p.holder] == p.zone for p in floor_of(own))
+    assert all(zones[p.holder] == p.zone for p in placements_of(own))
     known = set(own.platform.known)
     own.call("/small/1")
     own.run(3_000)
@@ -111,13 +112,15 @@
     own.settle()
     own.run(15_000)
     assert len(own.platform.known) == len(own.platform.servers)
-    assert {p.identity for p in floor_of(own)} == {s.identity for s in own.platform.known.values()}
+    assert {p.identity for p in placements_of(own)} == {
+        s.identity for s in own.platform.known.values()
+    }
     assert stops(own) == []
 
 
 @EACH
-def test_a_worker_without_room_is_left_alone_for_a_while(own: Sim) -> None:
-    """Its memory is taken by what the floor does not know of."""
+def test_a_full_worker_is_not_retried_for_a_while(own: Sim) -> None:
+    """The worker's memory is used by something that the placement table does not contain."""
     for worker in ("w1", "w2"):
         own.platform.taken_mb[worker] = 7_680
     own.settle()
@@ -126,17 +129,17 @@
     for worker in ("w1", "w2"):
         tries = sorted(at_ms for at_ms, w in own.platform.full if w == worker)
         for here, there in pairwise(tries):
-            assert there - here < 150 or there - here > 1_200  # one pass may ask for several
-    assert all(p.state == UP for p in floor_of(own))
+            assert there - here < 150 or there - here > 1_200  # one pass may request several
+    assert all(p.state == UP for p in placements_of(own))
 
 
 @EACH
-def test_what_never_comes_up_is_dropped_and_stopped(own: Sim) -> None:
+def test_an_instance_that_never_comes_up_is_dropped_and_stopped(own: Sim) -> None:
     own.settle()
     own.platform.start_small_ms = 600_000.0
     own.call("/small/1")
     own.run(1_000)
-    stuck = [p for p in floor_of(own) if p.service == "small-1"]
+    stuck = [p for p in placements_of(own) if p.service == "small-1"]
     assert stuck and all(p.state == STARTING and p.holder for p in stuck)
     own.platform.start_small_ms = 0.0
     own.run(14_000)
@@ -145,16 +148,16 @@
 
 
 @EACH
-def test_instances_live_on_when_everything_falls(own: Sim) -> None:
-    """Where instances refuse what is over their limit, new holders have them at once."""
+def test_instances_survive_the_loss_of_all_nodes(own: Sim) -> None:
+    """If instances reject calls over their limit, new holders are assigned at once."""
     own.platform.turns_away = True
     own.bounds = Bounds(rejection_safe=True, stop_drains=True)
     own.settle()
-    own.traffic(60, 30_000)  # all the while: idle ones would rightly go
+    own.traffic(60, 30_000)  # throughout: idle instances would be stopped
     own.run(5_000)
     before, starts = set(own.platform.servers), len(own.platform.starts)
     fall_and_return(own, own.nodes, 2_000)
-    own.run(12_000)  # a surplus may go 15 s after the return, as at any time
+    own.run(12_000)  # a surplus may be stopped after 15 s
     assert before <= set(own.platform.servers)
     own.run(8_000)
     assert len(own.platform.starts) - starts <= 4
@@ -162,8 +165,8 @@
     clean(own)
 
 
-def test_calls_wait_in_the_line_of_what_starts() -> None:
-    """The holder keeps them until a connect succeeds; refused connects are no failure."""
+def test_calls_are_queued_for_a_starting_instance() -> None:
+    """The holder queues calls until a connection succeeds; a refused connection is no failure."""
     booting = placed("a", "w1", state=STARTING, warm=True, routed=False, limit=1, identity="i-1")
     state = holder.State(NodeId("ex1"), 1)
     now_ms = Ms(1_000)
@@ -199,13 +202,13 @@
     state, effects = holder.step(state, reached, Ms(now_ms + 320))
     (sent,) = [e.job for e in effects if isinstance(e, Launch)]
     assert isinstance(sent, SendAttempt) and sent.attempt_id == "c0.0"
-    for words in ([HeldWord("a", "reached")], []):  # said once
+    for words in ([HeldWord("a", "reached")], []):  # reported once
         state, effects = holder.step(state, Tick(), Ms(now_ms + 340))
         assert [e.message for e in effects if isinstance(e, Send)] == words
 
 
 @EACH
-def test_nobodys_instance_is_stopped_by_the_platforms_name(own: Sim) -> None:
+def test_an_orphan_is_stopped_by_its_platform_id(own: Sim) -> None:
     own.settle()
     old = next(s for s in own.platform.servers.values() if s.service == "readings")
     lost = own.platform.take_over(old, "readings")
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""Single parts: lists and their bounds, the budget, replay, hints."""
+"""Successor lists and their age limits, the retry budget, ledger replay, catching up, manifests."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     return replace(Placed(*row), **changes)  # type: ignore[arg-type]
 
 
-def failed_on(worker: str, instance: str) -> Call:
+def call_failed_on(worker: str, instance: str) -> Call:
     route, service = Route("/x", "s"), Service("s", 128, 4)
     row: list[Any] = [instance, worker, "ex1", 1, Ms(0)]
     each = Attempt(*row)
@@ -51,14 +51,15 @@
     return Tables(by_service=Map({"s": instances}), evacuated=evacuated)
 
 
-def test_the_head_that_is_still_fit_takes_over() -> None:
-    """The list's order decides, not the floor's; what is not fit any more is passed over."""
+def test_first_eligible_successor_takes_over() -> None:
+    """The order of the list decides, not that of the placement table; ineligible instances are
+    skipped."""
     here = [placed("a", "w1"), placed("b", "w2"), placed("c", "w3"), placed("d", "w4")]
     pushed = Lists(1, 1, 1, 0, (Successors("s", "w1", ("d", "c", "b")),))
     lists, _ = merged(SuccessorLists(), pushed, Ms(0))
 
     def head(now: Tables, shunned_ms: dict[str, int], now_ms: int = 0) -> tuple[str, str]:
-        got = pick(failed_on("w1", "a"), now, lists, {}, shunned_ms, "ex1", now_ms)
+        got = pick(call_failed_on("w1", "a"), now, lists, {}, shunned_ms, "ex1", now_ms)
         assert got is not None
         return got.placed.id, got.rule
 
@@ -85,7 +86,7 @@
     assert (state.lists.term, state.lists.of("s", "w1")) == (3, ("newer",))
 
 
-def test_second_sends_stay_within_the_share() -> None:
+def test_retries_stay_within_the_budget() -> None:
     budget = Budget(0)
     now_ms = WINDOW_MS + 1
     for _ in range(100):
@@ -97,13 +98,14 @@
     assert sent == 20 + 3
     assert not budget.allows("s", now_ms + WINDOW_MS // 2)
     assert budget.allows("s", now_ms + 2 * WINDOW_MS)
-    assert Budget(0).allows("t", 0) is False  # a restarted process begins without a share
-    assert Budget(0, exchanges=0).allows("t", 2 * WINDOW_MS) is False  # nobody said how many
+    assert Budget(0).allows("t", 0) is False  # a restarted process starts with no budget
+    # Nothing is allowed while the number of exchanges is unknown.
+    assert Budget(0, exchanges=0).allows("t", 2 * WINDOW_MS) is False
 
 
 @pytest.mark.parametrize("count", [1, 9, 60, 86, 930])
-def test_shares_of_the_extra_sends_add_up(count: int) -> None:
-    """However many exchanges there are, each spends no more than its part."""
+def test_budget_shares_of_all_exchanges_stay_within_the_total(count: int) -> None:
+    """The shares of all exchanges together stay within the budget, whatever their number."""
     total, now_ms = 0, 2 * WINDOW_MS
     for _ in range(count):
         budget = Budget(0, 0.2, 58.0, count)
@@ -127,7 +129,7 @@
     made.close()
 
 
-def test_replay_bears_out_and_tampering_shows(sim: Sim) -> None:
+def test_replay_confirms_the_ledger_and_detects_tampering(sim: Sim) -> None:
     sim.settle()
     sim.traffic(60, 4_000)
     sim.platform.crash("w1")
@@ -165,8 +167,9 @@
     assert got.difference is not None
 
 
-def test_replay_notices_another_outcome(sim: Sim) -> None:
-    """An entry whose digest is right but whose output the functions don't bear out."""
+def test_replay_detects_a_different_output(sim: Sim) -> None:
+    """Replay reports an entry whose digest is right but whose output is not what the functions
+    compute from its inputs."""
     snapshot = LoadSnapshot(
         (("t", 9.0),), (Function("A", "t", 9.0),), (("A", (CandidateWorker("u", ("a",)),)),)
     )
@@ -177,7 +180,7 @@
     assert got.difference is not None and "recomputed" in got.difference.reason
 
 
-def test_a_member_that_was_away_is_handed_what_it_missed(sim: Sim) -> None:
+def test_a_member_that_was_down_catches_up(sim: Sim) -> None:
     sim.settle()
     away = sim.registries[2]
     away.kill()
--- a/tests/test_region_cuts.py
+++ b/tests/test_region_cuts.py
@@ -1,4 +1,5 @@
-"""Regions that lose each other, one way or both, or are lost whole, under traffic and orders."""
+"""Network partitions between regions, one-way or both ways, and the loss of a region, under traffic
+and configuration changes."""
 
 from __future__ import annotations
 
@@ -19,7 +20,7 @@
 
 @pytest.fixture(params=[1, 2, 3])
 def far(request: pytest.FixtureRequest) -> Iterator[Sim]:
-    """Three regions, five members: two, two, and one in the south."""
+    """Three regions with five members: two, two, and one in the south."""
     made = Sim(request.param, 9, 5.0, registries=5, bounds=Bounds(members=5), regions=REGIONS)
     made.settle()
     yield made
@@ -40,9 +41,9 @@
 
 @pytest.mark.parametrize("both_ways", [True, False])
 @pytest.mark.parametrize("alone", ["south", "north"])
-def test_a_region_loses_the_others(far: Sim, alone: str, both_ways: bool) -> None:
-    """The others go on and take orders. The lone one refuses, and has what was acknowledged
-    meanwhile once it is back; nothing that it was asked alone counts."""
+def test_one_region_is_partitioned_from_the_others(far: Sim, alone: str, both_ways: bool) -> None:
+    """The other regions continue and accept orders. The isolated region refuses orders, and has
+    what was acknowledged meanwhile once it is back; nothing requested there alone takes effect."""
     far.traffic(60, LONG_MS + 14_000)
     far.run(1_000)
     cut(far, alone, tuple(zone for zone in ZONES if zone != alone), both_ways)
@@ -64,7 +65,7 @@
     assert level(far.log(), back_ms + 4_000, back_ms + 8_000) > 0.99
 
 
-def test_two_regions_lose_each_other_while_a_third_sees_both(far: Sim) -> None:
+def test_two_regions_are_partitioned_while_a_third_reaches_both(far: Sim) -> None:
     far.traffic(60, LONG_MS + 14_000)
     far.run(1_000)
     cut(far, "north", ("south",), True)
@@ -82,9 +83,9 @@
     clean(far)
 
 
-def test_a_region_is_lost_and_comes_back(far: Sim) -> None:
-    """With its workers; what was acknowledged before and meanwhile stays, and calls that are not
-    repeatable ran once at most."""
+def test_a_region_is_lost_and_returns(far: Sim) -> None:
+    """A region is lost with its workers. What was acknowledged before and meanwhile is kept, and
+    calls that are not repeatable run at most once."""
     far.traffic(60, LONG_MS + 16_000)
     far.run(1_000)
     assert done(far, far.evacuate("south", True)).status == 200
@@ -113,9 +114,9 @@
     assert level(far.log(), back_ms + 8_000, back_ms + 11_000) > 0.99
 
 
-def test_bytes_between_regions_are_few_while_nothing_happens(far: Sim) -> None:
-    """A node of a quiet fleet sends other regions under 2 kB a second, the members' part included.
-    (On cde5351 it was over 5 kB.)"""
+def test_idle_traffic_between_regions_is_small(far: Sim) -> None:
+    """A node of an idle fleet, members included, sends under 2 kB a second to other regions. Guards
+    against idle traffic of over 5 kB a second."""
     before = far.net.between_regions.size_bytes
     far.run(10_000)
     sent = far.net.between_regions.size_bytes - before
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -1,4 +1,4 @@
-"""Three regions, far from each other: what stays within one, and what has to cross."""
+"""Three distant regions: which messages stay within a region, and which have to leave it."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
     assert places.between("b1", "b2") == Distance.SAME_REGION
 
 
-def test_without_regions_all_zones_are_of_one() -> None:
+def test_without_regions_all_zones_are_in_one_region() -> None:
     assert Places("a1").distance("b1") == Distance.SAME_REGION
 
 
-def test_values_come_from_the_own_zone_then_the_own_region() -> None:
+def test_values_are_fetched_from_the_own_zone_then_the_own_region() -> None:
     members = tuple(NodeId(f"m-{zone}") for zone in REGIONS)
     zones = {f"m-{zone}": zone for zone in REGIONS}
     order = bringers(members, zones, Places("b2", REGIONS), "h:1")
@@ -55,7 +55,7 @@
     return peers.merge(state, entries, Ms(0))
 
 
-def share_that_crosses(places: Places, regions: dict[str, str]) -> float:
+def share_leaving_the_region(places: Places, regions: dict[str, str]) -> float:
     state = gossip(places)
     here = regions.get(places.zone, "")
     crossed = sent = 0
@@ -70,23 +70,26 @@
 
 
 @pytest.mark.parametrize("zone", ["a1", "b2"])
-def test_most_gossip_stays_within_a_region_and_some_does_not(zone: str) -> None:
-    share = share_that_crosses(Places(zone, REGIONS), REGIONS)
+def test_most_but_not_all_gossip_stays_within_a_region(zone: str) -> None:
+    share = share_leaving_the_region(Places(zone, REGIONS), REGIONS)
     assert 0.02 < share < 0.2
 
 
 def test_a_process_alone_in_its_region_gossips_with_the_others() -> None:
-    assert share_that_crosses(Places("d1", {**REGIONS, "d1": "d"}), {**REGIONS, "d1": "d"}) == 1.0
+    assert (
+        share_leaving_the_region(Places("d1", {**REGIONS, "d1": "d"}), {**REGIONS, "d1": "d"})
+        == 1.0
+    )
 
 
-def test_just_started_all_seeds_are_asked_wherever_they_are() -> None:
+def test_after_a_start_all_seeds_are_contacted_in_any_region() -> None:
     state = gossip(Places("a1", REGIONS))
     seeds = tuple(Address(f"10.{n}.9.9:1") for n in range(3))
     _, effects = peers.step(replace(state, seeds=seeds, view=Map()), Tick(0), Ms(1))
     assert {e.address for e in effects if isinstance(e, SendAddress)} == set(seeds)
 
 
-def test_settings_that_leave_the_own_zone_out_are_refused() -> None:
+def test_settings_without_the_own_zone_are_rejected() -> None:
     settings = Settings(
         "ex1", "d1", "127.0.0.1:1", "127.0.0.1:2", ("127.0.0.1:3",), regions=REGIONS
     )
@@ -101,42 +104,42 @@
         read_settings(str(path), {})
 
 
-def test_where_members_differ_and_calls_wait_all_are_asked_again_at_once() -> None:
-    """The third member that makes a proof may have a table a moment later than the others."""
-    state = asking(within_ms=150)
-    state, probes = asked_of(state, 1_500)
+def test_all_members_are_probed_again_at_once_if_they_differ_and_calls_wait() -> None:
+    """The third member of a quorum may get a table slightly later than the others."""
+    state = exchange_state(within_ms=150)
+    state, probes = probed_members(state, 1_500)
     assert len(probes) == 3
     for number, member in enumerate(probes):
-        state, _ = replica.step(state, answer(state, member, 4 + number % 2), Ms(1_530))
+        state, _ = replica.step(state, probe_ack(state, member, 4 + number % 2), Ms(1_530))
     assert state.next_ms <= 1_550
-    _, again = asked_of(state, 1_550)
+    _, again = probed_members(state, 1_550)
     assert len(again) == 5
 
 
-def test_where_nobody_waits_the_next_question_is_not_hurried() -> None:
-    state, probes = asked_of(asking(within_ms=0), 1_500)
+def test_the_next_probe_is_not_brought_forward_if_no_call_waits() -> None:
+    state, probes = probed_members(exchange_state(within_ms=0), 1_500)
     for number, member in enumerate(probes):
-        state, _ = replica.step(state, answer(state, member, 4 + number % 2), Ms(1_530))
+        state, _ = replica.step(state, probe_ack(state, member, 4 + number % 2), Ms(1_530))
     assert state.next_ms > 1_600
 
 
-def test_members_of_other_regions_are_asked_more_rarely() -> None:
-    """In turn only as many as a proof needs, and all of the own region; all of them now and then,
-    as they count who has been silent."""
-    state = replace(asking(within_ms=0), turn_ms=Ms(0))
-    state, probes = asked_of(state, 1_500)
+def test_members_of_other_regions_are_probed_less_often() -> None:
+    """Regular probes go to a quorum that includes all members of the own region. All members are
+    probed occasionally, because they count silent exchanges."""
+    state = replace(exchange_state(within_ms=0), turn_ms=Ms(0))
+    state, probes = probed_members(state, 1_500)
     assert {"m-a1", "m-a2"} < set(probes) and len(probes) == 3
     late = replace(state, proved_ms=Ms(900), turn_ms=Ms(0))
-    assert len(asked_of(late, 1_500)[1]) == 5
+    assert len(probed_members(late, 1_500)[1]) == 5
     rare = replace(state, all_probed_ms=Ms(0), turn_ms=Ms(0))
-    assert len(asked_of(rare, 1_500)[1]) == 5
+    assert len(probed_members(rare, 1_500)[1]) == 5
 
 
 MEMBERS = ("m-a1", "m-b1", "m-c1", "m-a2", "m-b2")
 
 
-def asking(within_ms: int) -> replica.State:
-    """An exchange of region a that knows five members, whose newest proof is young."""
+def exchange_state(within_ms: int) -> replica.State:
+    """An exchange in region a that knows five members and has a recent proof."""
     members = tuple((MemberId(name), Address(f"{name}:1")) for name in MEMBERS)
     return replica.State(
         (),
@@ -151,14 +154,14 @@
     )
 
 
-def asked_of(state: replica.State, at_ms: int) -> tuple[replica.State, tuple[str, ...]]:
+def probed_members(state: replica.State, at_ms: int) -> tuple[replica.State, tuple[str, ...]]:
     state, effects = replica.step(replace(state, next_ms=Ms(at_ms)), Tick(0), Ms(at_ms))
     return state, tuple(
         e.to for e in effects if isinstance(e, Send) and isinstance(e.message, Probe)
     )
 
 
-def answer(state: replica.State, member: str, version: int) -> From:
-    """A member's answer, of a placement table that is a version further on or not."""
+def probe_ack(state: replica.State, member: str, version: int) -> From:
+    """A member's probe answer that reports this version of the placement table."""
     copies = tuple(Copy(name, version, f"d{version}", version, "m-b1") for name in SPREAD)
     return From(NodeId(member), Incarnation(1), ProbeAck(state.nonce, 1, copies, (), ()))
--- a/tests/test_role_ended.py
+++ b/tests/test_role_ended.py
@@ -1,5 +1,5 @@
-"""The placement role of a holder whose process is seen to have ended is taken before its lease is
-over; that of one that is only silent is not."""
+"""The placement role is taken over before the lease expires if the holder's process has ended, but
+not if the holder is only silent."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from tests.test_scenarios import clean
 
 
-def test_a_refused_connection_voids_the_life_that_was_heard_before_it_only() -> None:
-    """A refusal may be read late, when a later life of the process runs and holds the role."""
+def test_a_refused_connection_voids_only_the_incarnation_heard_before_it() -> None:
+    """A refusal may be processed late, when a later incarnation runs and holds the role."""
     state = role.State(ME, 5, (ME, OTHER))
     state, effects = role.step(state, Tick(), Ms(10))
     state, _ = told(state, asked(effects), RoleHolder(OTHER, 7, 3), 9, 12)
@@ -28,13 +28,13 @@
             assert not any(isinstance(e, Tell) for e in effects), life
             continue
         if state.pending_op_id and not effects:
-            continue  # it asks already
-        assert isinstance(asked(effects).change, Read)  # a hint is read at a majority first
+            continue  # the read is already in progress
+        assert isinstance(asked(effects).change, Read)  # the role is read from a majority first
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_role_whose_holder_was_killed_is_taken_at_once(seed: int) -> None:
-    """Its machine refuses connections, so nobody waits for its lease of 1.5 s."""
+def test_the_role_of_a_killed_holder_is_taken_at_once(seed: int) -> None:
+    """The machine refuses connections, so the others do not wait for the lease of 1.5 s."""
     sim = Sim(seed, exchanges=3)
     sim.settle()
     sim.run(5_000)
@@ -51,8 +51,8 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_role_whose_holder_is_frozen_or_cut_off_keeps_its_lease(seed: int) -> None:
-    """Neither refuses a connection: it may still decide until its lease is over."""
+def test_the_role_of_a_partitioned_holder_is_not_taken_during_its_lease(seed: int) -> None:
+    """No connection is refused, so the holder may still decide until its lease expires."""
     sim = Sim(seed, exchanges=3)
     sim.settle()
     sim.run(5_000)
--- a/tests/test_scaling.py
+++ b/tests/test_scaling.py
@@ -1,4 +1,4 @@
-"""How quickly and how cheaply services scale, on a platform that names instances itself."""
+"""Scaling speed and cost on a platform that assigns its own instance ids."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from spokeroute.dispatch.scaling.sizing import Demand, boot_fits, wanted_of
 from tests.sim.acts import holder_of
 from tests.sim.cluster import Sim, configuration
-from tests.test_own_names import EACH, floor_of, own
+from tests.test_own_names import EACH, own, placements_of
 from tests.test_scenarios import clean
 from tools.judges import level
 
@@ -21,7 +21,8 @@
 
 
 def services(**changes: Any) -> dict[str, Any]:
-    """Every service without minimum and spares; ``changes`` by service, aims by path."""
+    """The configuration without minimum instances and spares, with ``changes`` by service and
+    target latencies (``aims``) by path."""
     doc = configuration()
     for service in doc["services"]:
         service.update({"minInstances": 0, "spares": 0, "idleMs": 3_000, "coldMs": 0})
@@ -36,11 +37,11 @@
     [(1_400, 200, False), (900, 1_500, True), (450, 500, False), (300, 1_000, True),
      (1_400, 0, True), (0, 149, False), (0, 150, True)],
 )  # fmt: skip
-def test_whether_a_boot_fits_into_the_aim(start_ms: int, aim_ms: int, fits: bool) -> None:
+def test_boot_fits_the_target_latency(start_ms: int, aim_ms: int, fits: bool) -> None:
     assert boot_fits(Service("s", 128, 1, start_ms=start_ms), aim_ms) is fits
 
 
-def test_one_is_wanted_before_any_call_where_a_boot_does_not_fit() -> None:
+def test_one_instance_is_wanted_before_any_call_if_a_boot_exceeds_the_target() -> None:
     slow = Service("s", 512, 4, start_ms=1_400, idle_ms=3_000)
     assert wanted_of(slow, LONG_AGO, 0, 0, 200) == 1
     assert wanted_of(slow, LONG_AGO, 0, 0, 5_000) == 0
@@ -48,9 +49,10 @@
 
 
 @EACH
-def test_a_slow_boot_is_kept_warm_before_any_call(own: Sim) -> None:
-    """One from the moment the configuration rules, a spare elsewhere while it is in use, and
-    the first call is answered within its aim; a quick one sleeps until it is called."""
+def test_a_slow_starting_service_is_kept_warm_before_any_call(own: Sim) -> None:
+    """A service whose start exceeds its target latency has one instance once the configuration is
+    in force, and a spare in another zone while in use; its first call meets the target. A service
+    that starts quickly has none until it is called."""
     slow = {"startMs": 1_400}
     doc = services(readings=slow, corrections=slow, small_1={"startMs": 300},
                    aims={"/readings": 200, "/corrections": 300, "/small/1": 1_500})  # fmt: skip
@@ -58,18 +60,18 @@
     own.settle(doc)
     assert own.up_to(lambda: own.serving("readings", 1) and own.serving("corrections", 1), 6_000)
     own.run(3_000)
-    here = sorted(p.service for p in floor_of(own))
+    here = sorted(p.service for p in placements_of(own))
     assert here == ["corrections", "readings"]
     asked = own.call("/readings")
     own.run(200)
     assert asked.status == 200
     own.traffic(10, 6_000, ("/readings",))
     own.run(6_000)
-    mine = [p for p in floor_of(own) if p.service == "readings" and p.state == UP]
+    mine = [p for p in placements_of(own) if p.service == "readings" and p.state == UP]
     assert len(mine) == 2
     assert len({p.worker for p in mine}) == len({p.zone for p in mine}) == 2
     own.run(26_000)
-    here = sorted(p.service for p in floor_of(own))
+    here = sorted(p.service for p in placements_of(own))
     assert here == ["corrections", "readings"]
     clean(own)
     assert level(own.log(), 0, 1e9) == 1.0
@@ -77,8 +79,8 @@
 
 @EACH
 def test_a_first_call_leads_to_a_start_at_once(own: Sim) -> None:
-    """The probe that says that a call waits is planned on as it comes, the floor is written and
-    the platform asked without another beat; also with disks that take 5 ms a sync."""
+    """Placement plans when the probe reports a waiting call, writes the table and calls the
+    platform without waiting for the next interval, also with disks that take 5 ms for a sync."""
     for disk in (r.disk for r in own.registries):
         if disk is not None:
             disk.sync_ms = 5.0
@@ -101,9 +103,9 @@
 
 
 @EACH
-def test_a_first_call_waits_for_the_boot_and_little_more(own: Sim) -> None:
-    """The new holder hears at once that it is one, has reached the instance as it comes up, and
-    hands on the call that waits in its line."""
+def test_a_first_call_takes_little_longer_than_the_boot(own: Sim) -> None:
+    """The new holder is notified at once, connects to the instance as it comes up, and forwards the
+    queued call."""
     own.platform.start_ms = 300.0
     own.settle(services(small_1={"startMs": 300}, small_2={"startMs": 300}))
     for path in ("/small/1", "/small/2"):
@@ -113,12 +115,13 @@
         own.run(1_000)
         up_ms = min(s.up_at_ms for n, s in own.platform.known.items() if n not in known)
         assert asked.status == 200
-        assert asked.done_ms - up_ms < 150  # 24 to 56 of them are the work itself
+        assert asked.done_ms - up_ms < 150  # the call itself takes 24 to 56 ms
 
 
 @EACH
-def test_a_drained_instance_is_stopped_once_its_holder_has_nothing_there(own: Sim) -> None:
-    """Not after the lease and the longest run; but not while a call runs there either."""
+def test_a_drained_instance_is_stopped_once_idle(own: Sim) -> None:
+    """A drained instance is stopped before the lease and the longest run are over, but never while
+    a call runs on it."""
     own.platform.work_ms = 900.0
     doc = services()
     doc["services"][0] = {**doc["services"][0], "longestRunMs": 8_000, "idleMs": 60_000}
@@ -130,7 +133,7 @@
     for _ in range(4):
         own.call("/readings")
     own.run(200)
-    mine = {p.id for p in floor_of(own) if p.service == "readings"}
+    mine = {p.id for p in placements_of(own) if p.service == "readings"}
     fewer = services()
     fewer["services"], fewer["routes"] = fewer["services"][1:], fewer["routes"][1:]
     told = own.apply(fewer)
@@ -148,14 +151,14 @@
 
 
 @EACH
-def test_a_fallen_workers_instances_leave_the_floor_before_the_listing_lacks_them(own: Sim) -> None:
+def test_instances_of_a_crashed_worker_are_removed_before_the_listing(own: Sim) -> None:
     own.settle()
     own.traffic(60, 6_000)
     own.run(3_000)
-    worker = next(p.worker for p in floor_of(own) if p.service == "readings" and p.routed)
+    worker = next(p.worker for p in placements_of(own) if p.service == "readings" and p.routed)
     own.platform.crash(worker)
     crashed_ms = own.env.now
     gone = own.up_to(lambda: not any(
-        p.worker == worker and p.service == "readings" for p in floor_of(own)), 3_000)  # fmt: skip
+        p.worker == worker and p.service == "readings" for p in placements_of(own)), 3_000)  # fmt: skip
     assert gone and own.env.now - crashed_ms < 700
     clean(own)
--- a/tests/test_small_processors.py
+++ b/tests/test_small_processors.py
@@ -1,5 +1,5 @@
-"""Front nodes with a small share of a core, a thousand functions: what an operator changes again
-and again costs a node no more of its processor than it can spare."""
+"""Front nodes with a small share of a core and a thousand functions: frequent configuration changes
+must leave most of the processor to the calls."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass
 class SmallNodes:
-    """A cluster whose front nodes have a share of a core each, and what they used of it."""
+    """A cluster whose front nodes have a share of a core each, with their processor usage."""
 
     sim: Sim
     share: float
@@ -32,14 +32,14 @@
     def used_ms(self) -> list[float]:
         return [node.processor.used_ms for node in self.sim.exchanges if node.processor]
 
-    def cores_over(self, for_ms: float) -> list[float]:
-        """The cores that each front node uses while so much time passes."""
+    def cores_used_during(self, for_ms: float) -> list[float]:
+        """The cores that each front node uses while the simulation runs for this long."""
         before = self.used_ms()
         self.sim.run(for_ms)
         return [(now - then) / for_ms for now, then in zip(self.used_ms(), before, strict=True)]
 
-    def middle_ms(self, from_ms: float, to_ms: float) -> float:
-        """The median latency of the calls that were served, by when they were asked."""
+    def median_latency_ms(self, from_ms: float, to_ms: float) -> float:
+        """The median latency of the served calls that were made in an interval."""
         asked = [a for a in self.sim.asked if from_ms <= a.at_ms < to_ms and a.status == 200]
         took = sorted(each.done_ms - each.at_ms for each in asked)
         return took[len(took) // 2]
@@ -63,20 +63,20 @@
 
 
 @EACH
-def test_a_storm_of_changes_leaves_most_of_a_small_processor_to_the_calls(
+def test_frequent_changes_leave_most_of_a_small_processor_to_calls(
     small: SmallNodes,
 ) -> None:
     sim = small.sim
     told: list[Told] = []
     late: list[str] = []
     sim.env.process(watched(sim, told, late))
-    calm = small.cores_over(CALM_MS)
+    calm = small.cores_used_during(CALM_MS)
     began_ms = sim.env.now
     sim.env.process(storm(sim, told, FUNCTIONS, STORM_MS, STORM_GAP_MS))
-    cores = small.cores_over(STORM_MS)
+    cores = small.cores_used_during(STORM_MS)
     sim.run(5_000)
-    before_ms = small.middle_ms(began_ms - CALM_MS, began_ms)
-    during_ms = small.middle_ms(began_ms, began_ms + STORM_MS)
+    before_ms = small.median_latency_ms(began_ms - CALM_MS, began_ms)
+    during_ms = small.median_latency_ms(began_ms, began_ms + STORM_MS)
     assert len([t for t in told if t.status == 200]) >= 20, told
     assert late == [], (len(late), late[:4])
     assert max(cores) <= MOST_OF_PROCESSOR * small.share, (calm, cores)
--- a/tests/test_switches.py
+++ b/tests/test_switches.py
@@ -1,4 +1,4 @@
-"""Switches: checked settings, each read in one place, each with the effect that it names."""
+"""Feature switches: they are validated, each is read in one place and has its stated effect."""
 
 from __future__ import annotations
 
@@ -30,18 +30,18 @@
 SLOW = Service("s", 512, 4, start_ms=1_400, spares=0)
 
 
-def test_all_are_on_where_nobody_says_otherwise() -> None:
+def test_all_switches_are_on_by_default() -> None:
     assert all(getattr(Switches(), name) for name in NAMES)
 
 
 @pytest.mark.parametrize("name", NAMES)
-def test_each_is_read_in_one_place(name: str) -> None:
+def test_each_switch_is_read_in_one_place(name: str) -> None:
     sources = [p for p in (ROOT / "spokeroute").rglob("*.py") if p.name != "switches.py"]
     reads = [p for p in sources for _ in re.findall(rf"switches\.{name}\b", p.read_text())]
     assert len(reads) == 1, reads
 
 
-def test_a_settings_file_turns_them_off(tmp_path: Path) -> None:
+def test_a_settings_file_turns_switches_off(tmp_path: Path) -> None:
     path = tmp_path / "ex1.toml"
     path.write_text("policy.load_shifts = false\npolicy.near_first = true\n")
     settings = read_settings(str(path), {})
@@ -78,7 +78,7 @@
     assert "unknown switch 'spares' in --without" in done.stderr
 
 
-def test_names_are_checked_from_either_side() -> None:
+def test_switch_names_and_values_are_validated() -> None:
     with pytest.raises(SwitchError):
         without(Switches(), ["no such"], "here")
     with pytest.raises(SwitchError):
@@ -86,7 +86,7 @@
     assert without(Switches(), ["lone_spare"], "here") == Switches(lone_spare=False)
 
 
-def test_scaling_without_a_spare_without_a_bound() -> None:
+def test_scaling_without_lone_spare_and_bounded_growth() -> None:
     demand = Demand(40.0, 0, 0)
     assert spares_of(SLOW, demand, 1, 0, 200) == 1
     assert spares_of(SLOW, demand, 1, 0, 200, lone=False) == 0
@@ -112,7 +112,7 @@
     assert update_demand(later, reported(8, 900), 900, 100, None, blind)["s"].gap_ms == 0.0
 
 
-def test_lists_that_do_not_accumulate_name_one_head_for_all() -> None:
+def test_lists_without_accumulation_share_the_first_successor() -> None:
     snapshot = LoadSnapshot(
         (("t", 70.0), ("a", 1.0), ("b", 0.0)),
         (Function("x", "t", 40.0), Function("y", "t", 30.0)),
@@ -126,7 +126,7 @@
 
 
 class NoWorld:
-    """A world in which nothing is done."""
+    """A world that performs no effects."""
 
     def now_ms(self) -> Ms:
         return Ms(0)
@@ -161,8 +161,8 @@
 
 
 @pytest.mark.parametrize("name", NAMES)
-def test_a_cluster_keeps_its_rules_without_any_one_of_them(name: str) -> None:
-    """Switches are for measuring: what is off costs time or memory, and breaks no promise."""
+def test_a_cluster_keeps_its_guarantees_with_any_switch_off(name: str) -> None:
+    """Switches are for measurements: turning one off costs time or memory, but no guarantee."""
     sim = Sim(5, exchanges=4, switches=without(Switches(), [name], "here"))
     sim.settle()
     sim.traffic(40, 5_000, ("/readings", "/corrections", "/small/1"))
--- a/tests/test_table_reader.py
+++ b/tests/test_table_reader.py
@@ -1,5 +1,5 @@
-"""Reading configurations row by row: the same tables as when they are read whole, and only what
-changed is read."""
+"""Compiling a configuration with reuse of rows gives the same tables as compiling it in full, and
+parses only changed rows."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.lists(st.tuples(CONFIGURATIONS, st.sampled_from(DOCUMENTS)), min_size=1, max_size=5))
-def test_tables_are_the_same_whatever_was_read_before(
+def test_reuse_of_rows_gives_the_same_tables(
     made: list[tuple[Configuration, str]],
 ) -> None:
     reader = TableReader()
@@ -82,7 +82,7 @@
     return pack_configuration(read, "a", timeout_ms, json.dumps(doc))
 
 
-def test_only_the_rows_that_changed_are_read() -> None:
+def test_only_changed_rows_are_parsed() -> None:
     reader = TableReader()
     reader.read(Version(1), "", value_of(300, 1_000))
     assert reader.rows_read == 600
@@ -93,10 +93,10 @@
     table = reader.read(Version(4), "", value_of(300, 1_001))
     assert reader.rows_read == 0
     assert len(table.services) == 300
-    assert reader.rows == 600  # what is gone is not kept
+    assert reader.rows == 600  # removed rows are not kept
 
 
-def test_orders_behind_the_packed_part_change_nothing() -> None:
+def test_orders_after_the_packed_part_do_not_affect_tables() -> None:
     value = value_of(3, 1_000)
     assert stamped(value, value, Made("o1", 1)) != value
     assert build_table(Version(1), "", stamped(value, value, Made("o1", 1))).services.keys() == {
@@ -104,8 +104,8 @@
     }  # fmt: skip
 
 
-def test_a_value_of_an_earlier_release_is_read_whole() -> None:
-    """Before lists stood an entry a line, a configuration was one line of JSON."""
+def test_a_value_of_an_earlier_release_is_compiled() -> None:
+    """Earlier releases stored a configuration as a single line of JSON."""
     doc = document_of(3, 1_000)
     read = read_configuration(json.dumps(doc).encode(), ())
     assert isinstance(read, Configuration)
