--- a/tests/test_flare.py
+++ b/tests/test_flare.py
@@ -101,7 +101,7 @@
     snapshot = LoadSnapshot(
         (("ALPHA", 50.0), ("LAMBADA", 0.0)),
         (Function("A", "ALPHA", 40.0), Function("D", "ALPHA", 10.0)),
-        sites,
+        candidates,
     )
     decision = rome(snapshot, ShiftLimits())
     assert [(s.service, s.to_worker, s.cause) for s in decision.shifts] == [
--- a/tests/test_scaling.py
+++ b/tests/test_scaling.py
@@ -151,14 +151,16 @@
 
 
 @EACH
-def test_instances_of_a_crashed_worker_are_removed_before_the_listing(own: Sim) -> None:
+def test_a_crashed_workers_instances_are_removed_before_the_listing(own: Sim) -> None:
     own.settle()
     own.traffic(60, 6_000)
     own.run(3_000)
     worker = next(p.worker for p in placements_of(own) if p.service == "readings" and p.routed)
     own.platform.crash(worker)
     crashed_ms = own.env.now
-    gone = own.up_to(lambda: not any(
-        p.worker == worker and p.service == "readings" for p in placements_of(own)), 3_000)  # fmt: skip
+    gone = own.up_to(
+        lambda: not any(p.worker == worker and p.service == "readings" for p in placements_of(own)),
+        3_000,
+    )
     assert gone and own.env.now - crashed_ms < 700
     clean(own)
