--- a/spokeroute/dispatch/flare/list_push.py
+++ b/spokeroute/dispatch/flare/list_push.py
@@ -13,7 +13,7 @@
 from spokeroute.dispatch.flare.algorithms import Ranking
 from spokeroute.transport.list_messages import Lists, Successors
 
-WHOLE = -1
+FULL_BASE = -1
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,7 +23,7 @@
     term: int = 0
     sequence: int = -1
     rankings: tuple[Ranking, ...] = ()
-    told: Map[str, int] = field(default_factory=Map)  # exchange -> its incarnation
+    sent_to: Map[str, int] = field(default_factory=Map)  # exchange -> its incarnation
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
         >>> full_lists(ListsHeader(1, 1, 1, 3), ()).base
         -1
     """
-    return _lists(head, {_key(r): r.instances for r in rankings if r.instances}, WHOLE)
+    return _lists(head, {_key(r): r.instances for r in rankings if r.instances}, FULL_BASE)
 
 
 def changed_lists(head: ListsHeader, pushed: LastPush, rankings: tuple[Ranking, ...]) -> Lists:
@@ -71,18 +71,18 @@
     Example:
         pushed, effects = push(head, pushed, rankings, live_holders(reports, now_ms))
     """
-    goes_on = pushed.term == head.term
-    news = changed_lists(head, pushed, rankings) if goes_on else None
-    whole: Lists | None = None
+    same_term = pushed.term == head.term
+    changes = changed_lists(head, pushed, rankings) if same_term else None
+    full: Lists | None = None
     effects: list[Effect] = []
     for node in sorted(holders):
-        if news is not None and pushed.told.get(node) == holders[node]:
-            effects.append(Send(node, news))
+        if changes is not None and pushed.sent_to.get(node) == holders[node]:
+            effects.append(Send(node, changes))
             continue
-        whole = whole or full_lists(head, rankings)
-        effects.append(Send(node, whole))
-    told = Map({str(node): int(incarnation) for node, incarnation in holders.items()})
-    return LastPush(head.term, head.sequence, rankings, told), effects
+        full = full or full_lists(head, rankings)
+        effects.append(Send(node, full))
+    sent_to = Map({str(node): int(incarnation) for node, incarnation in holders.items()})
+    return LastPush(head.term, head.sequence, rankings, sent_to), effects
 
 
 def _key(ranking: Ranking) -> tuple[str, str]:
--- a/spokeroute/dispatch/flare/ranking.py
+++ b/spokeroute/dispatch/flare/ranking.py
@@ -40,18 +40,18 @@
         state, effects = update_rankings(state, table, now_ms)
     """
     suspects = suspect_instances(state.reports, now_ms)
-    now, faults = build_snapshot(
+    snapshot, faults = build_snapshot(
         state.placements, table, mean_in_flight_of(state.reports), workers_by_id(state),
         state.evacuated, suspects, state.policy,
     )  # fmt: skip
     effects: list[Effect] = []
-    if _must_rerank(state, now, table.thresholds.trigger_pct, now_ms):
+    if _must_rerank(state, snapshot, table.thresholds.trigger_pct, now_ms):
         accumulates = state.switches.accumulated_utilization
-        rankings = laaf(now, accumulates)
+        rankings = laaf(snapshot, accumulates)
         state = replace(
-            state, rankings=rankings, ranked=now, sequence=state.sequence + 1, ranked_ms=now_ms
+            state, rankings=rankings, ranked=snapshot, sequence=state.sequence + 1, ranked_ms=now_ms
         )
-        inputs = {**picture_doc(now), "accumulates": accumulates}
+        inputs = {**picture_doc(snapshot), "accumulates": accumulates}
         record = Record("laaf", inputs, ranking_doc(state.rankings))
         effects.append(ledger_entry(state, record))
         if faults:
@@ -59,20 +59,22 @@
             effects.append(ledger_entry(state, record))
         bounds = table.thresholds
         limits = ShiftLimits(bounds.overload_pct, bounds.migration_pct, bounds.trigger_pct)
-        rested = replace(now, vetoes=(*now.vetoes, *sorted(recently_shifted(state, now_ms))))
-        relief = rome(rested, limits) if state.switches.load_shifts else ShiftDecision(())
-        if relief.shifts:
+        without_recent = replace(
+            snapshot, vetoes=(*snapshot.vetoes, *sorted(recently_shifted(state, now_ms)))
+        )
+        decision = rome(without_recent, limits) if state.switches.load_shifts else ShiftDecision(())
+        if decision.shifts:
             inputs = {
-                **picture_doc(rested),
+                **picture_doc(without_recent),
                 "limits": [limits.overload_pct, limits.migration_pct, limits.gap_pct],
             }
-            output = [[s.service, s.from_worker, s.to_worker, s.cause] for s in relief.shifts]
+            output = [[s.service, s.from_worker, s.to_worker, s.cause] for s in decision.shifts]
             effects.append(ledger_entry(state, Record("rome", inputs, output)))
             shifted = state.shifted_ms
-            for s in relief.shifts:
+            for s in decision.shifts:
                 shifted = shifted.set((s.service, s.from_worker), now_ms)
                 shifted = shifted.set((s.service, s.to_worker), now_ms)
-            state = replace(state, shifts=relief.shifts, shifted_ms=shifted)
+            state = replace(state, shifts=decision.shifts, shifted_ms=shifted)
     elif now_ms - state.pushed_ms < PUSH_MS:
         return state, tuple(effects)
     holders = live_holders(state.reports, now_ms)
@@ -102,19 +104,19 @@
     return state, (Send(node, full_lists(head, state.pushed.rankings)),)
 
 
-def _must_rerank(state: State, now: LoadSnapshot, trigger_pct: float, now_ms: Ms) -> bool:
+def _must_rerank(state: State, snapshot: LoadSnapshot, trigger_pct: float, now_ms: Ms) -> bool:
     """Whether LAAF must run again: at once if a utilization changed by more than the trigger, after
     RERANK_MS if candidates changed (exchanges skip successors that are not eligible)."""
     old = state.ranked
     if old is None:
         return True
     before = dict(old.cu_pct)
-    if set(before) != {w for w, _ in now.cu_pct}:
+    if set(before) != {w for w, _ in snapshot.cu_pct}:
         return True
-    if any(abs(cu - before[w]) > trigger_pct for w, cu in now.cu_pct):
+    if any(abs(cu - before[w]) > trigger_pct for w, cu in snapshot.cu_pct):
         return True
     known = [(f.service, f.worker) for f in old.functions]
-    changed = old.candidates != now.candidates or known != [
-        (f.service, f.worker) for f in now.functions
+    changed = old.candidates != snapshot.candidates or known != [
+        (f.service, f.worker) for f in snapshot.functions
     ]
     return changed and now_ms - state.ranked_ms >= RERANK_MS
--- a/spokeroute/dispatch/placement/listing.py
+++ b/spokeroute/dispatch/placement/listing.py
@@ -63,18 +63,20 @@
         len(update_presence(EMPTY_PLACEMENT_TABLE, listing, Map(), 500, 0)) == 0
     """
     there = {p.identity for p in listing.listed}
-    out: dict[str, ListingPresence] = {}
+    found: dict[str, ListingPresence] = {}
     for placed in placements.instances:
-        before = old.get(placed.id)
+        earlier = old.get(placed.id)
         if identity_of(placed) in there:
-            out[placed.id] = ListingPresence(before.since_ms if before else now_ms, True)
+            found[placed.id] = ListingPresence(earlier.since_ms if earlier else now_ms, True)
         elif placed.state != STARTING:
-            seen = before or ListingPresence(now_ms)
-            late_ms = LATE_LAGS * lag_ms + LATE_PLUS_MS
-            due = placed.state == UP and now_ms - seen.since_ms >= late_ms
-            more = 1 if seen.listed or due else 0
-            out[placed.id] = ListingPresence(seen.since_ms, seen.listed, seen.missing + more)
-    return Map(out)
+            seen = earlier or ListingPresence(now_ms)
+            tolerated_lag_ms = LATE_LAGS * lag_ms + LATE_PLUS_MS
+            due = placed.state == UP and now_ms - seen.since_ms >= tolerated_lag_ms
+            newly_missing = 1 if seen.listed or due else 0
+            found[placed.id] = ListingPresence(
+                seen.since_ms, seen.listed, seen.missing + newly_missing
+            )
+    return Map(found)
 
 
 def absent_from(
@@ -88,19 +90,19 @@
     """
     listed = {p.identity: p for p in listing.listed}
     workers = {s.id: s for s in listing.workers}
-    out: list[str] = []
+    found: list[str] = []
     for placed in placements.instances:
         if placed.state == STARTING and not placed.holder:
             continue
         if placed.state not in (STARTING, UP, DRAINING):
             continue
         there = listed.get(identity_of(placed))
-        sight = presence.get(placed.id)
-        lost = sight is not None and sight.missing >= LOST_AFTER_LISTINGS
+        record = presence.get(placed.id)
+        lost = record is not None and record.missing >= LOST_AFTER_LISTINGS
         ended = there is not None and there.state in LISTED_ENDED
         if lost or ended or is_leaving(placed, there, workers.get(placed.worker)):
-            out.append(placed.id)
-    return tuple(out)
+            found.append(placed.id)
+    return tuple(found)
 
 
 def orphan_stops(
--- a/spokeroute/dispatch/placement/state.py
+++ b/spokeroute/dispatch/placement/state.py
@@ -64,9 +64,8 @@
     presence: Map[str, ListingPresence] = field(default_factory=Map)
     empty_listings: int = 0  # consecutive listings that lacked everything
     orphan_ms: Map[str, int] = field(default_factory=Map)
-    recorded_attempts: Map[str, int] = field(
-        default_factory=Map
-    )  # attempts whose successor is in the ledger
+    recorded_attempts: Map[str, int] = field(default_factory=Map)
+    """Attempts whose successor is in the ledger."""
     timers: PlacementTimers = PlacementTimers()
     demand: Map[str, Demand] = field(default_factory=Map)
     demand_ms: Ms = Ms(0)
@@ -126,22 +125,22 @@
     return replace(state, recorded_attempts=known), tuple(ledger_entry(state, r) for r in records)
 
 
-def with_outcomes(state: State, node: NodeId, told: OutcomesTold) -> tuple[State, Effects]:
+def with_outcomes(state: State, node: NodeId, batch: OutcomesTold) -> tuple[State, Effects]:
     """Sum and record the late, refused and failed calls that an exchange reported.
 
     Example:
         state, effects = with_outcomes(state, node, OutcomesTold(1, ()))
     """
     sums = state.outcomes
-    for row in told.rows:
+    for row in batch.rows:
         key = (row.service, row.outcome, row.reason)
         if key in sums or len(sums) < MAX_OUTCOME_KEYS:
             sums = sums.set(key, sums.get(key, 0) + row.count)
     state = replace(state, outcomes=sums)
     if not state.term:
         return state, ()
-    rows = [[row.service, row.outcome, row.reason, row.count] for row in told.rows]
-    record = Record("outcomes", {"exchange": node, "batch": told.number}, rows)
+    rows = [[row.service, row.outcome, row.reason, row.count] for row in batch.rows]
+    record = Record("outcomes", {"exchange": node, "batch": batch.number}, rows)
     return state, (ledger_entry(state, record),)
 
 
@@ -216,7 +215,7 @@
     """The workers in the newest listing, by id.
 
     Example:
-        seats_of(State(NodeId("m1"))) == {}
+        workers_by_id(State(NodeId("m1"))) == {}
     """
     return {s.id: s for s in state.listing.workers}
 
@@ -237,19 +236,23 @@
     Example:
         lacks_capacity(state, probe)
     """
-    waits = {d.service for d in probe.demand if d.waiting}
-    if not waits or state.table is None or waits.isdisjoint(state.table.services):
+    waiting_services = {d.service for d in probe.demand if d.waiting}
+    if (
+        not waiting_services
+        or state.table is None
+        or waiting_services.isdisjoint(state.table.services)
+    ):
         return False
-    room = dict.fromkeys(waits, 0)
+    capacity = dict.fromkeys(waiting_services, 0)
     for placed in state.placements.instances:
-        if placed.service in room and placed.state in (STARTING, UP):
-            room[placed.service] += placed.limit if placed.zone not in state.evacuated else 0
-    asked = dict.fromkeys(waits, 0)
+        if placed.service in capacity and placed.state in (STARTING, UP):
+            capacity[placed.service] += placed.limit if placed.zone not in state.evacuated else 0
+    demanded = dict.fromkeys(waiting_services, 0)
     for known in state.reports.values():
         for d in known.demand:
-            if d.service in asked:
-                asked[d.service] += d.waiting + d.in_flight
-    return any(asked[name] > room[name] for name in waits)
+            if d.service in demanded:
+                demanded[d.service] += d.waiting + d.in_flight
+    return any(demanded[name] > capacity[name] for name in waiting_services)
 
 
 def with_holder_word(state: State, node: NodeId, incarnation: int, word: HeldWord) -> State | None:
--- a/spokeroute/dispatch/scaling/service_scaling.py
+++ b/spokeroute/dispatch/scaling/service_scaling.py
@@ -43,8 +43,8 @@
 
 def _kept_for_ms(work: PlanningPass, service: Service) -> int:
     """The lowest target latency for which an instance is kept; 0 if none."""
-    kept = work.seen.switches.warm_for_short_aims
-    return work.seen.table.aim_ms.get(service.name, 0) if kept else 0
+    recently_moved = work.seen.switches.warm_for_short_aims
+    return work.seen.table.aim_ms.get(service.name, 0) if recently_moved else 0
 
 
 def scale(work: PlanningPass, service: Service) -> None:
@@ -54,10 +54,10 @@
         scale(work, service)
     """
     seen = work.seen
-    mine = work.of(service.name)
+    all_instances = work.of(service.name)
     here = [
         p
-        for p in mine
+        for p in all_instances
         if is_counted(p, seen.evacuated, seen.suspects) and work.zone_allowed(service.name, p.zone)
     ]
     up = [p for p in here if p.state == UP and p.holder]
@@ -112,7 +112,7 @@
     inputs: dict[str, object],
 ) -> None:
     seen = work.seen
-    near = list(here)
+    service_instances = list(here)
     usable_workers = {
         worker: listed_worker
         for worker, listed_worker in seen.workers.items()
@@ -128,7 +128,7 @@
             service.memory_mb, _kept_free_mb(work)
         ):
             return
-        worker = best_worker(room, service.memory_mb, tuple(near), seen.cu_pct)
+        worker = best_worker(room, service.memory_mb, tuple(service_instances), seen.cu_pct)
         if worker is None:
             return
         work.started += 1
@@ -138,7 +138,7 @@
             service.limit, STARTING, service.cold_ms == 0, False, NO_NODE, NO_INCARNATION,
         )  # fmt: skip
         work.instances[name] = placed
-        near.append(placed)
+        service_instances.append(placed)
         work.record_decision(
             "start", {**inputs, "wanted": wanted}, {"instance": name, "worker": worker}
         )
@@ -153,10 +153,10 @@
 
 
 def _drain(
-    work: PlanningPass, here: list[Placed], many: int, wanted: int, inputs: dict[str, object]
+    work: PlanningPass, here: list[Placed], count: int, wanted: int, inputs: dict[str, object]
 ) -> None:
     order = sorted(here, key=lambda p: (p.routed, -work.seen.cu_pct.get(p.worker, 0.0), p.id))
-    for placed in [p for p in order if p.state == UP][:many]:
+    for placed in [p for p in order if p.state == UP][:count]:
         work.instances[placed.id] = replace(placed, state=DRAINING, routed=False)
         work.record_decision("drain", {**inputs, "wanted": wanted}, {"instance": placed.id})
 
@@ -179,8 +179,8 @@
             ),
         )
         for placed in passive[: wanted - len(routed)]:
-            kept = (placed.service, placed.worker) in seen.avoid
-            if routed and (kept or seen.cu_pct.get(placed.worker, 0.0) >= over):
+            recently_moved = (placed.service, placed.worker) in seen.avoid
+            if routed and (recently_moved or seen.cu_pct.get(placed.worker, 0.0) >= over):
                 break
             work.instances[placed.id] = replace(placed, routed=True)
             routed.append(placed)
--- a/tests/test_allowed_regions.py
+++ b/tests/test_allowed_regions.py
@@ -20,7 +20,7 @@
 
 def configuration_limited_to(regions: list[str] | None) -> dict[str, Any]:
     """The small deployment, with allowed regions on the route of one small service."""
-    document = configuration(name=f"configuration_limited_to to {regions}")
+    document = configuration(name=f"limited to {regions}")
     for route in document["routes"]:
         if route["path"] == PATH and regions is not None:
             route["regions"] = regions
--- a/tests/test_catch_up_links.py
+++ b/tests/test_catch_up_links.py
@@ -310,7 +310,7 @@
         sim.run(50)
         copies = node.state("replica")
         assert copies.proved_ms < 0 and not copies.ruling
-        assert node.state("role").term == 0 and node.state("role").known is None
+        assert node.state("role").term == 0 and node.state("role").known_holder is None
         assert node.state("placement").term == 0 and node.state("placement").table is None
         assert node.state("acceptor").epoch == 1
     assert all(t.status in (503, 504) for t in told), [t.status for t in told]
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -21,7 +21,7 @@
     read_configuration,
 )
 from spokeroute.dispatch.configuration.validation import check_regions
-from spokeroute.dispatch.placement.table import Mark, pack_evacuated, unpack_evacuated
+from spokeroute.dispatch.placement.table import EvacuationChange, pack_evacuated, unpack_evacuated
 from spokeroute.http.wsgi import respond, serve
 from spokeroute.register.numbers import MAX_NUMBER
 from spokeroute.register.stamps import (
@@ -139,9 +139,9 @@
 
 def test_a_mark_is_made_once_by_its_own_member_too() -> None:
     """Its round was overtaken and is asked anew: a restore may have come since."""
-    mark = Mark("north", True, (), "e-1")
+    mark = EvacuationChange("north", True, (), "e-1")
     value = mark.decide(0, b"") or b""
-    value = Mark("north", False, (), "r-1").decide(1, value) or b""
+    value = EvacuationChange("north", False, (), "r-1").decide(1, value) or b""
     assert unpack_evacuated(value) == frozenset() and mark.decide(2, value) is None
 
 
