--- a/spokeroute/dispatch/placement/listing.py
+++ b/spokeroute/dispatch/placement/listing.py
@@ -20,8 +20,10 @@
 
 ORPHAN_MS = 10_000
 RATE_SHARE = 0.8  # headroom below the platform's rate: listings grow, members are replaced
-LATE_LAGS = 2  # tolerated listing delay, in multiples of the lag that the platform states
-LATE_PLUS_MS = 200
+LAG_TOLERANCE_FACTOR = (
+    2  # tolerated listing delay, in multiples of the lag that the platform states
+)
+LAG_TOLERANCE_EXTRA_MS = 200
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,7 +72,7 @@
             found[placed.id] = ListingPresence(earlier.since_ms if earlier else now_ms, True)
         elif placed.state != STARTING:
             seen = earlier or ListingPresence(now_ms)
-            tolerated_lag_ms = LATE_LAGS * lag_ms + LATE_PLUS_MS
+            tolerated_lag_ms = LAG_TOLERANCE_FACTOR * lag_ms + LAG_TOLERANCE_EXTRA_MS
             due = placed.state == UP and now_ms - seen.since_ms >= tolerated_lag_ms
             newly_missing = 1 if seen.listed or due else 0
             found[placed.id] = ListingPresence(
@@ -79,14 +81,14 @@
     return Map(found)
 
 
-def absent_from(
+def absent_instances(
     placements: PlacementTable, listing: PlatformListed, presence: Mapping[str, ListingPresence]
 ) -> tuple[str, ...]:
     """Instances that the table has up or draining, and the newest listing lacks or shows as
     ended or draining. Every core node reports them with its proofs, whoever holds the role.
 
     Example:
-        absent_from(EMPTY_PLACEMENT_TABLE, listing, {}) == ()
+        absent_instances(EMPTY_PLACEMENT_TABLE, listing, {}) == ()
     """
     listed = {p.identity: p for p in listing.listed}
     workers = {s.id: s for s in listing.workers}
--- a/spokeroute/dispatch/scaling/service_scaling.py
+++ b/spokeroute/dispatch/scaling/service_scaling.py
@@ -38,13 +38,13 @@
     demand = work.seen.demand.get(service.name, NO_DEMAND)
     if service.min_instances or not is_idle(service, demand, work.seen.now_ms):
         return False
-    return boot_fits(service, _kept_for_ms(work, service))
+    return boot_fits(service, _kept_warm_aim_ms(work, service))
 
 
-def _kept_for_ms(work: PlanningPass, service: Service) -> int:
+def _kept_warm_aim_ms(work: PlanningPass, service: Service) -> int:
     """The lowest target latency for which an instance is kept; 0 if none."""
-    recently_moved = work.seen.switches.warm_for_short_aims
-    return work.seen.table.aim_ms.get(service.name, 0) if recently_moved else 0
+    keep_warm = work.seen.switches.warm_for_short_aims
+    return work.seen.table.aim_ms.get(service.name, 0) if keep_warm else 0
 
 
 def scale(work: PlanningPass, service: Service) -> None:
@@ -55,28 +55,28 @@
     """
     seen = work.seen
     all_instances = work.of(service.name)
-    here = [
+    counted_instances = [
         p
         for p in all_instances
         if is_counted(p, seen.evacuated, seen.suspects) and work.zone_allowed(service.name, p.zone)
     ]
-    up = [p for p in here if p.state == UP and p.holder]
+    up = [p for p in counted_instances if p.state == UP and p.holder]
     demand = seen.demand.get(service.name, Demand())
-    running = sum(1 for p in here if p.state == UP)
+    running = sum(1 for p in counted_instances if p.state == UP)
     lone = seen.switches.lone_spare
-    kept_for_ms = _kept_for_ms(work, service)
-    wanted = wanted_of(service, demand, running, seen.now_ms, kept_for_ms, _bounded(work))
+    warm_aim_ms = _kept_warm_aim_ms(work, service)
+    wanted = wanted_of(service, demand, running, seen.now_ms, warm_aim_ms, _bounded(work))
     aim_ms = seen.table.aim_ms.get(service.name, 0)
     total = wanted + spares_of(service, demand, wanted, seen.now_ms, aim_ms, lone)
-    if len(here) < total:
-        inputs = _inputs(work, service, demand, here, running)
-        _start(work, service, here, wanted, total, inputs)
-    elif len(here) > total:
+    if len(counted_instances) < total:
+        inputs = _inputs(work, service, demand, counted_instances, running)
+        _start(work, service, counted_instances, wanted, total, inputs)
+    elif len(counted_instances) > total:
         work.surplus.add(service.name)
         since_ms = seen.now_ms - seen.surplus_ms.get(service.name, seen.now_ms)
         if since_ms >= min(SURPLUS_MS, idle_retention_ms(service, demand)):
-            inputs = _inputs(work, service, demand, here, running)
-            _drain(work, here, len(here) - total, wanted, inputs)
+            inputs = _inputs(work, service, demand, counted_instances, running)
+            _drain(work, counted_instances, len(counted_instances) - total, wanted, inputs)
     _route(work, service, up, wanted)
 
 
@@ -86,7 +86,11 @@
 
 
 def _inputs(
-    work: PlanningPass, service: Service, demand: Demand, here: list[Placed], running: int
+    work: PlanningPass,
+    service: Service,
+    demand: Demand,
+    counted_instances: list[Placed],
+    running: int,
 ) -> dict[str, object]:
     """The inputs of a scaling decision, for its ledger entry."""
     seen = work.seen
@@ -96,9 +100,9 @@
         "waiting": demand.waiting,
         "idleForMs": seen.now_ms - demand.last_arrival_ms,
         "gapMs": demand.gap_ms,
-        "have": len(here),
+        "have": len(counted_instances),
         "up": running,
-        "aimMs": _kept_for_ms(work, service),
+        "aimMs": _kept_warm_aim_ms(work, service),
         "boundedGrowth": _bounded(work),
     }
 
@@ -106,29 +110,31 @@
 def _start(
     work: PlanningPass,
     service: Service,
-    here: list[Placed],
+    counted_instances: list[Placed],
     wanted: int,
     total: int,
     inputs: dict[str, object],
 ) -> None:
     seen = work.seen
-    service_instances = list(here)
+    service_instances = list(counted_instances)
     usable_workers = {
         worker: listed_worker
         for worker, listed_worker in seen.workers.items()
         if worker not in seen.full_workers and work.zone_allowed(service.name, listed_worker.zone)
     }
-    for number in range(len(here), total):
+    for number in range(len(counted_instances), total):
         if work.started >= seen.starts_left:
             return
-        room = free_memory_of(usable_workers, work.instances, seen.table.services, seen.evacuated)
-        if number >= wanted and not room.spare_allowed(service.memory_mb):
+        free_memory = free_memory_of(
+            usable_workers, work.instances, seen.table.services, seen.evacuated
+        )
+        if number >= wanted and not free_memory.spare_allowed(service.memory_mb):
             return
-        if number >= max(1, service.min_instances) and not room.leaves_reserve(
+        if number >= max(1, service.min_instances) and not free_memory.leaves_reserve(
             service.memory_mb, _kept_free_mb(work)
         ):
             return
-        worker = best_worker(room, service.memory_mb, tuple(service_instances), seen.cu_pct)
+        worker = best_worker(free_memory, service.memory_mb, tuple(service_instances), seen.cu_pct)
         if worker is None:
             return
         work.started += 1
@@ -153,9 +159,15 @@
 
 
 def _drain(
-    work: PlanningPass, here: list[Placed], count: int, wanted: int, inputs: dict[str, object]
+    work: PlanningPass,
+    counted_instances: list[Placed],
+    count: int,
+    wanted: int,
+    inputs: dict[str, object],
 ) -> None:
-    order = sorted(here, key=lambda p: (p.routed, -work.seen.cu_pct.get(p.worker, 0.0), p.id))
+    order = sorted(
+        counted_instances, key=lambda p: (p.routed, -work.seen.cu_pct.get(p.worker, 0.0), p.id)
+    )
     for placed in [p for p in order if p.state == UP][:count]:
         work.instances[placed.id] = replace(placed, state=DRAINING, routed=False)
         work.record_decision("drain", {**inputs, "wanted": wanted}, {"instance": placed.id})
--- a/tests/test_allowed_regions.py
+++ b/tests/test_allowed_regions.py
@@ -28,7 +28,7 @@
 
 
 @pytest.fixture(params=[1, 2, 3])
-def far(request: pytest.FixtureRequest) -> Iterator[Sim]:
+def cluster(request: pytest.FixtureRequest) -> Iterator[Sim]:
     """Three regions with one zone each."""
     made = Sim(
         request.param, 6, regions=REGIONS, bounds=Bounds(rejection_safe=True, stale_ms=9_000)
@@ -50,45 +50,45 @@
     return made
 
 
-def test_calls_run_in_the_regions_that_their_route_allows(far: Sim) -> None:
-    made = calls(far, 24)
-    far.run(4_000)
+def test_calls_run_in_the_regions_that_their_route_allows(cluster: Sim) -> None:
+    made = calls(cluster, 24)
+    cluster.run(4_000)
     assert all(each.status == 200 for each in made)
-    assert {run.zone for run in runs_since(far, 0)} == {"centre"}
-    held = [p for _, _, floor in far.floors for p in floor.instances if p.service == "small-1"]
+    assert {run.zone for run in runs_since(cluster, 0)} == {"centre"}
+    held = [p for _, _, floor in cluster.floors for p in floor.instances if p.service == "small-1"]
     holders = {p.holder for p in held if p.holder}
-    assert holders and {n.zone for n in far.exchanges if n.name in holders} == {"centre"}
+    assert holders and {n.zone for n in cluster.exchanges if n.name in holders} == {"centre"}
 
 
-def test_a_change_moves_calls_to_the_regions_that_it_names(far: Sim) -> None:
-    calls(far, 6)
+def test_a_change_moves_calls_to_the_regions_that_it_names(cluster: Sim) -> None:
+    calls(cluster, 6)
     for regions, zones in (["s"], {"south"}), (["n", "s"], {"north", "south"}):
-        told = far.apply(configuration_limited_to(regions))
-        assert far.up_to(lambda told=told: told.status == 200, 5_000)  # type: ignore[misc]
-        far.run(3_000)
-        since_ms = far.env.now
-        made = calls(far, 12)
-        far.run(4_000)
+        told = cluster.apply(configuration_limited_to(regions))
+        assert cluster.up_to(lambda told=told: told.status == 200, 5_000)  # type: ignore[misc]
+        cluster.run(3_000)
+        since_ms = cluster.env.now
+        made = calls(cluster, 12)
+        cluster.run(4_000)
         assert all(each.status == 200 for each in made)
-        assert {run.zone for run in runs_since(far, since_ms)} <= zones
+        assert {run.zone for run in runs_since(cluster, since_ms)} <= zones
 
 
-def test_calls_are_refused_at_once_if_every_allowed_zone_is_evacuated(far: Sim) -> None:
-    calls(far, 6)
-    told = far.evacuate("centre", True)
-    assert far.up_to(lambda: told.status == 200, 5_000)
-    far.run(3_000)
-    since_ms = far.env.now
-    made = calls(far, 6, 20.0)
-    far.run(500)
+def test_calls_are_refused_at_once_if_every_allowed_zone_is_evacuated(cluster: Sim) -> None:
+    calls(cluster, 6)
+    told = cluster.evacuate("centre", True)
+    assert cluster.up_to(lambda: told.status == 200, 5_000)
+    cluster.run(3_000)
+    since_ms = cluster.env.now
+    made = calls(cluster, 6, 20.0)
+    cluster.run(500)
     assert {each.status for each in made} == {503}
     assert all(each.retry_after and each.ran == "no" for each in made)
     assert all(each.done_ms - each.at_ms < 50 for each in made)
-    assert runs_since(far, since_ms) == []
-    back = far.evacuate("centre", False)
-    assert far.up_to(lambda: back.status == 200, 5_000)
-    far.run(3_000)
-    assert all(each.status == 200 for each in waited(far, calls(far, 6)))
+    assert runs_since(cluster, since_ms) == []
+    back = cluster.evacuate("centre", False)
+    assert cluster.up_to(lambda: back.status == 200, 5_000)
+    cluster.run(3_000)
+    assert all(each.status == 200 for each in waited(cluster, calls(cluster, 6)))
 
 
 def waited(sim: Sim, made: list[Any]) -> list[Any]:
@@ -96,29 +96,29 @@
     return made
 
 
-def test_routes_of_a_lost_region_fail_until_it_is_back(far: Sim) -> None:
-    calls(far, 6)
-    for node in far.nodes:
+def test_routes_of_a_lost_region_fail_until_it_is_back(cluster: Sim) -> None:
+    calls(cluster, 6)
+    for node in cluster.nodes:
         if node.zone == "centre":
             node.kill()
-    gone = [seat.id for seat in far.platform.seats if seat.zone == "centre"]
+    gone = [seat.id for seat in cluster.platform.seats if seat.zone == "centre"]
     for worker in gone:
-        far.platform.crash(worker)
-    far.run(3_000)
-    since_ms = far.env.now
-    up = [node for node in far.exchanges if node.alive]
-    made = [far.call(PATH, node, wait_ms=1_000) for node in up]
-    far.run(2_000)
+        cluster.platform.crash(worker)
+    cluster.run(3_000)
+    since_ms = cluster.env.now
+    up = [node for node in cluster.exchanges if node.alive]
+    made = [cluster.call(PATH, node, wait_ms=1_000) for node in up]
+    cluster.run(2_000)
     assert {each.status for each in made} == {503}
-    assert runs_since(far, since_ms) == []
-    far.platform.down_workers.clear()
-    for node in far.nodes:
+    assert runs_since(cluster, since_ms) == []
+    cluster.platform.down_workers.clear()
+    for node in cluster.nodes:
         if not node.alive:
             node.start()
-    assert far.up_to(lambda: all(votes(r) for r in far.registries), 15_000)
-    far.run(6_000)
-    assert all(each.status == 200 for each in waited(far, calls(far, 6)))
-    assert {run.zone for run in runs_since(far, since_ms)} == {"centre"}
+    assert cluster.up_to(lambda: all(votes(r) for r in cluster.registries), 15_000)
+    cluster.run(6_000)
+    assert all(each.status == 200 for each in waited(cluster, calls(cluster, 6)))
+    assert {run.zone for run in runs_since(cluster, since_ms)} == {"centre"}
 
 
 def test_an_unknown_region_is_reported() -> None:
--- a/tests/test_cold_starts_far.py
+++ b/tests/test_cold_starts_far.py
@@ -21,7 +21,7 @@
 
 
 @pytest.fixture(params=[1, 2, 3, 4])
-def far(request: pytest.FixtureRequest) -> Iterator[Sim]:
+def cluster(request: pytest.FixtureRequest) -> Iterator[Sim]:
     bounds = Bounds(members=5, rejection_safe=True, stop_drains=True, stale_ms=9_000)
     made = Sim(
         request.param, 9, sync_ms=5.0, registries=5, work_ms=WORK_MS, bounds=bounds, regions=REGIONS
@@ -33,12 +33,12 @@
     made.close()
 
 
-def test_a_cold_start_takes_little_longer_than_the_boot(far: Sim) -> None:
+def test_a_cold_start_takes_little_longer_than_the_boot(cluster: Sim) -> None:
     asked = []
     for number in range(CALLS):
-        asked.append(far.call(f"/rare/{number * 7 % SERVICES}", far.exchanges[number % 9]))
-        far.run(GAP_MS)
-    far.run(4_000)
+        asked.append(cluster.call(f"/rare/{number * 7 % SERVICES}", cluster.exchanges[number % 9]))
+        cluster.run(GAP_MS)
+    cluster.run(4_000)
     assert all(each.status == 200 for each in asked)
     over = sorted(each.done_ms - each.at_ms - BOOT_MS - WORK_MS for each in asked)
     found = {share: over[len(over) * share // 100] for share in OVER_BOOT_MS}
--- a/tests/test_cut_off_role.py
+++ b/tests/test_cut_off_role.py
@@ -21,14 +21,14 @@
 
 
 @pytest.fixture
-def each(request: pytest.FixtureRequest) -> Iterator[Cut]:
+def partition(request: pytest.FixtureRequest) -> Iterator[Cut]:
     got = made(*request.param)
     yield got
     got.sim.close()
 
 
-RUNS = pytest.mark.parametrize("each", [(1, 3), (2, 3), (3, 5)], indirect=True)
-ONE = pytest.mark.parametrize("each", [(1, 3)], indirect=True)
+RUNS = pytest.mark.parametrize("partition", [(1, 3), (2, 3), (3, 5)], indirect=True)
+ONE = pytest.mark.parametrize("partition", [(1, 3)], indirect=True)
 WAYS = pytest.mark.parametrize("way", ["both", "out", "in"])
 
 
@@ -40,10 +40,10 @@
     return any(p.state == "draining" for p in holder.state("placement").placements.instances)
 
 
-def partitioned_role_holder(each: Cut, way: str, for_ms: float) -> tuple[Node, float, int]:
+def partitioned_role_holder(partition: Cut, way: str, for_ms: float) -> tuple[Node, float, int]:
     """Partition off the holder of the role while there is much to start and to stop. Instances that
     it marked as draining just before become due for a stop after its lease."""
-    sim = each.sim
+    sim = partition.sim
     holder = holder_of(sim)
     term = holder.state("role").term
     sim.evacuate("south", True)
@@ -66,11 +66,11 @@
 
 @WAYS
 @RUNS
-def test_a_partitioned_role_holder_stops_when_its_lease_expires(each: Cut, way: str) -> None:
-    sim = each.sim
+def test_a_partitioned_role_holder_stops_when_its_lease_expires(partition: Cut, way: str) -> None:
+    sim = partition.sim
     sim.traffic(60, 30_000)
     sim.run(1_000)
-    holder, cut_ms, term = partitioned_role_holder(each, way, 20_000)
+    holder, cut_ms, term = partitioned_role_holder(partition, way, 20_000)
     assert calls_of(sim, holder, cut_ms + LEASE_MS + 50) == []
     assert any(c[1] != holder.name and c[0] > cut_ms + LEASE_MS for c in sim.platform.calls)
     new = [f for at_ms, t, f in sim.floors if t > term]
@@ -98,12 +98,12 @@
 
 
 @ONE
-def test_an_endless_lease_is_detected(each: Cut, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_endless_lease_is_detected(partition: Cut, monkeypatch: pytest.MonkeyPatch) -> None:
     inject_endless_lease(monkeypatch)
-    sim = each.sim
+    sim = partition.sim
     sim.traffic(60, 30_000)
     sim.run(1_000)
-    holder, cut_ms, _ = partitioned_role_holder(each, "both", 20_000)
+    holder, cut_ms, _ = partitioned_role_holder(partition, "both", 20_000)
     assert calls_of(sim, holder, cut_ms + LEASE_MS + 50)
 
 
@@ -129,9 +129,9 @@
     return holder
 
 
-def calls_after_resume(each: Cut) -> list[tuple[float, str, str, str]]:
+def calls_after_resume(partition: Cut) -> list[tuple[float, str, str, str]]:
     """Freeze a holder at a platform call until another node holds the role, then resume it."""
-    sim = each.sim
+    sim = partition.sim
     holder = frozen_at_a_call(sim)
     term = holder.state("role").term
     frozen_ms = sim.env.now
@@ -143,13 +143,13 @@
 
 
 @RUNS
-def test_a_frozen_holder_resumes_under_an_older_term(each: Cut) -> None:
+def test_a_frozen_holder_resumes_under_an_older_term(partition: Cut) -> None:
     """Its pending platform call is not sent, and its open register rounds have no effect."""
-    sim = each.sim
+    sim = partition.sim
     sim.traffic(60, 50_000)
     sim.run(2_000)
     for _ in range(3):
-        assert calls_after_resume(each) == []
+        assert calls_after_resume(partition) == []
         sim.run(6_000)
     terms = [t for _, t, _ in sorted(sim.floors, key=lambda x: x[0])]
     assert terms == sorted(terms)
@@ -158,8 +158,8 @@
 
 
 @ONE
-def test_a_call_after_resume_is_detected(each: Cut, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_call_after_resume_is_detected(partition: Cut, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(role, "TERM_LEASE_MS", 10**9)
-    each.sim.traffic(60, 20_000)
-    each.sim.run(2_000)
-    assert calls_after_resume(each)
+    partition.sim.traffic(60, 20_000)
+    partition.sim.run(2_000)
+    assert calls_after_resume(partition)
--- a/tests/test_own_names.py
+++ b/tests/test_own_names.py
@@ -49,11 +49,11 @@
 SERVICE = Service("s", 128, 1, start_ms=300)
 TABLE = build_table(Version(1), "", pack_configuration(Configuration((), (SERVICE,), ()), "a"))
 REFUSED_MOST = 10  # calls sent at the same time by a guest and the next holder
-EACH = pytest.mark.parametrize("own", SEEDS, indirect=True)
+EACH = pytest.mark.parametrize("cluster", SEEDS, indirect=True)
 
 
 @pytest.fixture
-def own(request: pytest.FixtureRequest) -> Iterator[Sim]:
+def cluster(request: pytest.FixtureRequest) -> Iterator[Sim]:
     made = Sim(int(getattr(request, "param", 7)))
     made.platform.own_names = True
     made.platform.list_delay_ms = 800.0
@@ -70,99 +70,99 @@
 
 
 @EACH
-def test_ordinary_traffic_with_platform_assigned_ids(own: Sim) -> None:
-    own.settle()
-    own.traffic(60, 8_000)
-    own.run(8_000)
-    clean(own)
-    assert level(own.log(), 0, 1e9) > 0.995
-    assert stops(own) == []
-    listed = {s.identity for s in own.platform.servers.values()}
-    assert {p.identity for p in placements_of(own)} == listed
-    assert len(own.platform.known) == len(listed)
+def test_ordinary_traffic_with_platform_assigned_ids(cluster: Sim) -> None:
+    cluster.settle()
+    cluster.traffic(60, 8_000)
+    cluster.run(8_000)
+    clean(cluster)
+    assert level(cluster.log(), 0, 1e9) > 0.995
+    assert stops(cluster) == []
+    listed = {s.identity for s in cluster.platform.servers.values()}
+    assert {p.identity for p in placements_of(cluster)} == listed
+    assert len(cluster.platform.known) == len(listed)
 
 
 @EACH
-def test_an_instance_is_up_before_it_is_listed(own: Sim) -> None:
+def test_an_instance_is_up_before_it_is_listed(cluster: Sim) -> None:
     """Its holder, in the same zone, reaches it; the listing shows it at least 0.8 s later."""
-    own.settle()
-    zones = {e.name: e.zone for e in own.exchanges}
-    assert all(zones[p.holder] == p.zone for p in placements_of(own))
-    known = set(own.platform.known)
-    own.call("/small/1")
-    own.run(3_000)
-    new = [own.platform.known[n] for n in own.platform.known if n not in known]
+    cluster.settle()
+    zones = {e.name: e.zone for e in cluster.exchanges}
+    assert all(zones[p.holder] == p.zone for p in placements_of(cluster))
+    known = set(cluster.platform.known)
+    cluster.call("/small/1")
+    cluster.run(3_000)
+    new = [cluster.platform.known[n] for n in cluster.platform.known if n not in known]
     assert new
     for server in new:
         up_ms = next(
-            at_ms for at_ms, _, floor in own.floors for p in floor.instances
+            at_ms for at_ms, _, floor in cluster.floors for p in floor.instances
             if p.id == server.id and p.state == UP
         )  # fmt: skip
-        assert up_ms - server.up_at_ms < own.platform.list_delay_ms
+        assert up_ms - server.up_at_ms < cluster.platform.list_delay_ms
         held_ms = next(
-            at_ms for at_ms, _, floor in own.floors for p in floor.instances
+            at_ms for at_ms, _, floor in cluster.floors for p in floor.instances
             if p.id == server.id and p.holder
         )  # fmt: skip
         assert held_ms < server.up_at_ms
 
 
 @EACH
-def test_a_start_without_an_answer_gives_one_instance(own: Sim) -> None:
-    own.platform.lost_answers = 3
-    own.settle()
-    own.run(15_000)
-    assert len(own.platform.known) == len(own.platform.servers)
-    assert {p.identity for p in placements_of(own)} == {
-        s.identity for s in own.platform.known.values()
+def test_a_start_without_an_answer_gives_one_instance(cluster: Sim) -> None:
+    cluster.platform.lost_answers = 3
+    cluster.settle()
+    cluster.run(15_000)
+    assert len(cluster.platform.known) == len(cluster.platform.servers)
+    assert {p.identity for p in placements_of(cluster)} == {
+        s.identity for s in cluster.platform.known.values()
     }
-    assert stops(own) == []
+    assert stops(cluster) == []
 
 
 @EACH
-def test_a_full_worker_is_not_retried_for_a_while(own: Sim) -> None:
+def test_a_full_worker_is_not_retried_for_a_while(cluster: Sim) -> None:
     """The worker's memory is used by something that the placement table does not contain."""
     for worker in ("w1", "w2"):
-        own.platform.taken_mb[worker] = 7_680
-    own.settle()
-    own.run(4_000)
-    assert {s.worker for s in own.platform.servers.values()}.isdisjoint({"w1", "w2"})
+        cluster.platform.taken_mb[worker] = 7_680
+    cluster.settle()
+    cluster.run(4_000)
+    assert {s.worker for s in cluster.platform.servers.values()}.isdisjoint({"w1", "w2"})
     for worker in ("w1", "w2"):
-        tries = sorted(at_ms for at_ms, w in own.platform.full if w == worker)
+        tries = sorted(at_ms for at_ms, w in cluster.platform.full if w == worker)
         for here, there in pairwise(tries):
             assert there - here < 150 or there - here > 1_200  # one pass may request several
-    assert all(p.state == UP for p in placements_of(own))
+    assert all(p.state == UP for p in placements_of(cluster))
 
 
 @EACH
-def test_an_instance_that_never_comes_up_is_dropped_and_stopped(own: Sim) -> None:
-    own.settle()
-    own.platform.start_small_ms = 600_000.0
-    own.call("/small/1")
-    own.run(1_000)
-    stuck = [p for p in placements_of(own) if p.service == "small-1"]
+def test_an_instance_that_never_comes_up_is_dropped_and_stopped(cluster: Sim) -> None:
+    cluster.settle()
+    cluster.platform.start_small_ms = 600_000.0
+    cluster.call("/small/1")
+    cluster.run(1_000)
+    stuck = [p for p in placements_of(cluster) if p.service == "small-1"]
     assert stuck and all(p.state == STARTING and p.holder for p in stuck)
-    own.platform.start_small_ms = 0.0
-    own.run(14_000)
-    assert {p.id for p in stuck} <= set(stops(own))
-    assert not {p.id for p in stuck} & set(own.platform.servers)
+    cluster.platform.start_small_ms = 0.0
+    cluster.run(14_000)
+    assert {p.id for p in stuck} <= set(stops(cluster))
+    assert not {p.id for p in stuck} & set(cluster.platform.servers)
 
 
 @EACH
-def test_instances_survive_the_loss_of_all_nodes(own: Sim) -> None:
+def test_instances_survive_the_loss_of_all_nodes(cluster: Sim) -> None:
     """If instances reject calls over their limit, new holders are assigned at once."""
-    own.platform.turns_away = True
-    own.bounds = Bounds(rejection_safe=True, stop_drains=True)
-    own.settle()
-    own.traffic(60, 30_000)  # throughout: idle instances would be stopped
-    own.run(5_000)
-    before, starts = set(own.platform.servers), len(own.platform.starts)
-    fall_and_return(own, own.nodes, 2_000)
-    own.run(12_000)  # a surplus may be stopped after 15 s
-    assert before <= set(own.platform.servers)
-    own.run(8_000)
-    assert len(own.platform.starts) - starts <= 4
-    assert len(own.platform.turned_away_ms) <= REFUSED_MOST
-    clean(own)
+    cluster.platform.turns_away = True
+    cluster.bounds = Bounds(rejection_safe=True, stop_drains=True)
+    cluster.settle()
+    cluster.traffic(60, 30_000)  # throughout: idle instances would be stopped
+    cluster.run(5_000)
+    before, starts = set(cluster.platform.servers), len(cluster.platform.starts)
+    fall_and_return(cluster, cluster.nodes, 2_000)
+    cluster.run(12_000)  # a surplus may be stopped after 15 s
+    assert before <= set(cluster.platform.servers)
+    cluster.run(8_000)
+    assert len(cluster.platform.starts) - starts <= 4
+    assert len(cluster.platform.turned_away_ms) <= REFUSED_MOST
+    clean(cluster)
 
 
 def test_calls_are_queued_for_a_starting_instance() -> None:
@@ -208,9 +208,9 @@
 
 
 @EACH
-def test_an_orphan_is_stopped_by_its_platform_id(own: Sim) -> None:
-    own.settle()
-    old = next(s for s in own.platform.servers.values() if s.service == "readings")
-    lost = own.platform.take_over(old, "readings")
-    own.run(16_000)
-    assert lost.id not in own.platform.servers
+def test_an_orphan_is_stopped_by_its_platform_id(cluster: Sim) -> None:
+    cluster.settle()
+    old = next(s for s in cluster.platform.servers.values() if s.service == "readings")
+    lost = cluster.platform.take_over(old, "readings")
+    cluster.run(16_000)
+    assert lost.id not in cluster.platform.servers
--- a/tests/test_region_cuts.py
+++ b/tests/test_region_cuts.py
@@ -19,7 +19,7 @@
 
 
 @pytest.fixture(params=[1, 2, 3])
-def far(request: pytest.FixtureRequest) -> Iterator[Sim]:
+def cluster(request: pytest.FixtureRequest) -> Iterator[Sim]:
     """Three regions with five members: two, two, and one in the south."""
     made = Sim(request.param, 9, 5.0, registries=5, bounds=Bounds(members=5), regions=REGIONS)
     made.settle()
@@ -41,83 +41,85 @@
 
 @pytest.mark.parametrize("both_ways", [True, False])
 @pytest.mark.parametrize("alone", ["south", "north"])
-def test_one_region_is_partitioned_from_the_others(far: Sim, alone: str, both_ways: bool) -> None:
+def test_one_region_is_partitioned_from_the_others(
+    cluster: Sim, alone: str, both_ways: bool
+) -> None:
     """The other regions continue and accept orders. The isolated region refuses orders, and has
     what was acknowledged meanwhile once it is back; nothing requested there alone takes effect."""
-    far.traffic(60, LONG_MS + 14_000)
-    far.run(1_000)
-    cut(far, alone, tuple(zone for zone in ZONES if zone != alone), both_ways)
-    far.run(3_000)
-    there = next(i for i, r in enumerate(far.registries) if r.zone != alone)
-    here = next(i for i, r in enumerate(far.registries) if r.zone == alone)
-    taken = done(far, far.apply(configuration(name="by the others"), there))
+    cluster.traffic(60, LONG_MS + 14_000)
+    cluster.run(1_000)
+    cut(cluster, alone, tuple(zone for zone in ZONES if zone != alone), both_ways)
+    cluster.run(3_000)
+    there = next(i for i, r in enumerate(cluster.registries) if r.zone != alone)
+    here = next(i for i, r in enumerate(cluster.registries) if r.zone == alone)
+    taken = done(cluster, cluster.apply(configuration(name="by the others"), there))
     assert taken.status == 200
-    refused = far.apply(configuration(name="alone"), here)
-    far.run(LONG_MS - 3_000)
+    refused = cluster.apply(configuration(name="alone"), here)
+    cluster.run(LONG_MS - 3_000)
     assert refused.status != 200
-    back_ms = far.env.now
-    far.net.cuts.clear()
-    far.run(8_000)
+    back_ms = cluster.env.now
+    cluster.net.cuts.clear()
+    cluster.run(8_000)
     for number in range(5):
-        shown = done(far, far.show(number))
+        shown = done(cluster, cluster.show(number))
         assert shown.status == 200 and shown.doc["configuration"]["name"] != "alone"
-    clean(far)
-    assert level(far.log(), back_ms + 4_000, back_ms + 8_000) > 0.99
+    clean(cluster)
+    assert level(cluster.log(), back_ms + 4_000, back_ms + 8_000) > 0.99
 
 
-def test_two_regions_are_partitioned_while_a_third_reaches_both(far: Sim) -> None:
-    far.traffic(60, LONG_MS + 14_000)
-    far.run(1_000)
-    cut(far, "north", ("south",), True)
-    far.run(2_000)
+def test_two_regions_are_partitioned_while_a_third_reaches_both(cluster: Sim) -> None:
+    cluster.traffic(60, LONG_MS + 14_000)
+    cluster.run(1_000)
+    cut(cluster, "north", ("south",), True)
+    cluster.run(2_000)
     for zone in ("north", "centre", "south"):
-        where = next(i for i, r in enumerate(far.registries) if r.zone == zone)
-        told = done(far, far.apply(configuration(name=f"from {zone}"), where))
+        where = next(i for i, r in enumerate(cluster.registries) if r.zone == zone)
+        told = done(cluster, cluster.apply(configuration(name=f"from {zone}"), where))
         assert told.status == 200, zone  # each sees a majority
-        far.run(2_000)
-    far.run(LONG_MS - 6_000)
-    far.net.cuts.clear()
-    far.run(8_000)
-    names = {done(far, far.show(i)).doc["configuration"]["name"] for i in range(5)}
+        cluster.run(2_000)
+    cluster.run(LONG_MS - 6_000)
+    cluster.net.cuts.clear()
+    cluster.run(8_000)
+    names = {done(cluster, cluster.show(i)).doc["configuration"]["name"] for i in range(5)}
     assert names == {"from south"}
-    clean(far)
+    clean(cluster)
 
 
-def test_a_region_is_lost_and_returns(far: Sim) -> None:
+def test_a_region_is_lost_and_returns(cluster: Sim) -> None:
     """A region is lost with its workers. What was acknowledged before and meanwhile is kept, and
     calls that are not repeatable run at most once."""
-    far.traffic(60, LONG_MS + 16_000)
-    far.run(1_000)
-    assert done(far, far.evacuate("south", True)).status == 200
-    gone = [node for node in far.nodes if node.zone == "north"]
+    cluster.traffic(60, LONG_MS + 16_000)
+    cluster.run(1_000)
+    assert done(cluster, cluster.evacuate("south", True)).status == 200
+    gone = [node for node in cluster.nodes if node.zone == "north"]
     for node in gone:
         node.machine_up = False
         node.kill()
-    for seat in far.platform.seats:
+    for seat in cluster.platform.seats:
         if seat.zone == "north":
-            far.platform.crash(seat.id)
-    far.run(3_000)
-    up = next(i for i, r in enumerate(far.registries) if r.alive)
-    assert done(far, far.apply(configuration(name="meanwhile"), up)).status == 200
-    far.run(LONG_MS - 3_000)
-    far.platform.down_workers.clear()
-    back_ms = far.env.now
+            cluster.platform.crash(seat.id)
+    cluster.run(3_000)
+    up = next(i for i, r in enumerate(cluster.registries) if r.alive)
+    assert done(cluster, cluster.apply(configuration(name="meanwhile"), up)).status == 200
+    cluster.run(LONG_MS - 3_000)
+    cluster.platform.down_workers.clear()
+    back_ms = cluster.env.now
     for node in gone:
         node.machine_up = True
         node.start()
-    assert far.up_to(lambda: all(votes(r) for r in far.registries), 8_000)
-    far.run(4_000)
-    shown, evacuated = done(far, far.show(0)), done(far, far.evacuated(1))
+    assert cluster.up_to(lambda: all(votes(r) for r in cluster.registries), 8_000)
+    cluster.run(4_000)
+    shown, evacuated = done(cluster, cluster.show(0)), done(cluster, cluster.evacuated(1))
     assert shown.doc["configuration"]["name"] == "meanwhile"
     assert evacuated.doc["evacuated"] == ["south"]
-    clean(far)
-    assert level(far.log(), back_ms + 8_000, back_ms + 11_000) > 0.99
+    clean(cluster)
+    assert level(cluster.log(), back_ms + 8_000, back_ms + 11_000) > 0.99
 
 
-def test_idle_traffic_between_regions_is_small(far: Sim) -> None:
+def test_idle_traffic_between_regions_is_small(cluster: Sim) -> None:
     """A node of an idle fleet, members included, sends under 2 kB a second to other regions. Guards
     against idle traffic of over 5 kB a second."""
-    before = far.net.between_regions.size_bytes
-    far.run(10_000)
-    sent = far.net.between_regions.size_bytes - before
-    assert sent / 10 / len(far.nodes) < 2_000
+    before = cluster.net.between_regions.size_bytes
+    cluster.run(10_000)
+    sent = cluster.net.between_regions.size_bytes - before
+    assert sent / 10 / len(cluster.nodes) < 2_000
