--- a/spokeroute/exchange/claim_asks.py
+++ b/spokeroute/exchange/claim_asks.py
@@ -90,5 +90,5 @@
 
 def _sampled(state: State, took_ms: float) -> State:
     trip = state.claim_trip
-    sampled = trip.sampled(took_ms) if trip is not None else RoundTrip.first(took_ms)
+    sampled = trip.with_sample(took_ms) if trip is not None else RoundTrip.first(took_ms)
     return replace(state, claim_trip=sampled)
--- a/spokeroute/exchange/connect.py
+++ b/spokeroute/exchange/connect.py
@@ -10,16 +10,16 @@
 from spokeroute.common.ids import Address, InstanceId
 from spokeroute.transport.net import parse_address
 
-THREADS = 4
+MAX_THREADS = 4
 
 
 @dataclass(frozen=True, slots=True)
-class Connect:
+class ConnectJob:
     """A job: connect to an instance's address, and close again."""
 
     instance: InstanceId
     address: Address
-    wait_ms: int
+    timeout_ms: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,14 +32,14 @@
     refused: bool = False
 
 
-def connect(job: Connect) -> ConnectDone:
+def connect(job: ConnectJob) -> ConnectDone:
     """Connect once; blocks for no longer than the job says.
 
     Example:
-        connect(Connect(InstanceId("a"), Address("127.0.0.1:1"), 100)).reached is False
+        connect(ConnectJob(InstanceId("a"), Address("127.0.0.1:1"), 100)).reached is False
     """
     try:
-        with socket.create_connection(parse_address(job.address), job.wait_ms / 1000):
+        with socket.create_connection(parse_address(job.address), job.timeout_ms / 1000):
             return ConnectDone(job.instance, job.address, True)
     except ConnectionRefusedError:
         return ConnectDone(job.instance, job.address, False, refused=True)
@@ -56,9 +56,9 @@
 
     def __init__(self, report: Callable[[ConnectDone], None]) -> None:
         self.report = report
-        self.threads = ThreadPoolExecutor(THREADS, thread_name_prefix="connect")
+        self.threads = ThreadPoolExecutor(MAX_THREADS, thread_name_prefix="connect")
 
-    def launch(self, job: Connect) -> None:
+    def launch(self, job: ConnectJob) -> None:
         """Begin one.
 
         Example:
@@ -66,5 +66,5 @@
         """
         self.threads.submit(self._run, job)
 
-    def _run(self, job: Connect) -> None:
+    def _run(self, job: ConnectJob) -> None:
         self.report(connect(job))
--- a/spokeroute/exchange/lost_holders.py
+++ b/spokeroute/exchange/lost_holders.py
@@ -12,17 +12,17 @@
 from spokeroute.exchange.entry import State
 from spokeroute.exchange.moves import lose_attempt, unsent_attempt
 from spokeroute.exchange.reasons import Cause
-from spokeroute.exchange.silence import look
+from spokeroute.exchange.silent_holders import check_holders
 from spokeroute.exchange.types import LinkDown
 from spokeroute.transport.call_messages import Ping
 
 
-def lose_moved(state: State, now_ms: Ms) -> tuple[State, Effects]:
+def fail_moved_attempts(state: State, now_ms: Ms) -> tuple[State, Effects]:
     """An attempt whose instance has another holder, or none, gets no answer from the old one if
     that one is silent; one that lives hands on what it was given, and answers.
 
     Example:
-        state, effects = lose_moved(state, now_ms)
+        state, effects = fail_moved_attempts(state, now_ms)
     """
     effects: list[Effect] = []
     by_id = state.tables.by_id
@@ -32,22 +32,25 @@
             moved = placed is not None and (
                 (placed.holder, placed.holder_incarnation) != (each.holder, each.holder_incarnation)
             )
-            if moved and each.holder in state.silence.since_ms:
+            if moved and each.holder in state.silence.silent_since_ms:
                 state, more = lose_attempt(
-                    state, attempt_id, Cause.LOST.said("the instance's holder is gone"), now_ms
+                    state,
+                    attempt_id,
+                    Cause.LOST.with_detail("the instance's holder is gone"),
+                    now_ms,
                 )
                 effects.extend(more)
     return state, tuple(effects)
 
 
-def link_down(state: State, broken: LinkDown, now_ms: Ms) -> tuple[State, Effects]:
+def on_link_down(state: State, broken: LinkDown, now_ms: Ms) -> tuple[State, Effects]:
     """What was handed over a broken connection may run; what still waited on it was not sent.
 
     Example:
-        state, effects = link_down(state, LinkDown("ex2"), now_ms)
+        state, effects = on_link_down(state, LinkDown("ex2"), now_ms)
     """
     effects: list[Effect] = []
-    state = replace(state, silence=state.silence.lost(broken.node, now_ms))
+    state = replace(state, silence=state.silence.with_link_lost(broken.node, now_ms))
     for call in list(state.calls.values()):
         for attempt_id, each in list(call.attempts.items()):
             if each.holder != broken.node:
@@ -56,22 +59,22 @@
                 state, more = unsent_attempt(state, attempt_id, now_ms)
                 effects.extend(more)
             elif broken.reached:
-                why = Cause.LOST.said("the holder's link broke")
+                why = Cause.LOST.with_detail("the holder's link broke")
                 state, more = lose_attempt(state, attempt_id, why, now_ms)
                 effects.extend(more)
     return state, tuple(effects)
 
 
-def ask_silent(state: State, now_ms: Ms) -> tuple[State, Effects]:
+def ping_silent_holders(state: State, now_ms: Ms) -> tuple[State, Effects]:
     """Ask holders that say nothing; leave silent ones alone, and repeat what may be repeated.
 
     Example:
-        state, effects = ask_silent(state, now_ms)
+        state, effects = ping_silent_holders(state, now_ms)
     """
     calls = tuple(call for call in state.calls.values() if call.attempts)
-    if not calls and not state.silence.asked_ms:
+    if not calls and not state.silence.last_ping_ms:
         return state, ()
-    silence, ask, silent = look(state.silence, calls, state.me, now_ms)
+    silence, ask, silent = check_holders(state.silence, calls, state.me, now_ms)
     state = replace(state, silence=silence)
     effects: list[Effect] = [Send(node, Ping()) for node in ask]
     effects.extend(Unreached(node) for node in silent)
@@ -79,7 +82,7 @@
         for attempt_id, each in call.attempts.items():
             if each.holder in silent and not call.once:
                 state, more = lose_attempt(
-                    state, attempt_id, Cause.LOST.said("its holder is silent"), now_ms
+                    state, attempt_id, Cause.LOST.with_detail("its holder is silent"), now_ms
                 )
                 effects.extend(more)
     return state, tuple(effects)
--- a/spokeroute/exchange/told.py
+++ b/spokeroute/exchange/metrics_snapshot.py
@@ -7,11 +7,11 @@
 from spokeroute.transport.process import Process
 
 
-def exchange_figures(process: Process) -> Figures:
+def exchange_metrics(process: Process) -> Figures:
     """The figures of an exchange, from the loop's thread.
 
     Example:
-        text_of(exchange_figures(process))
+        text_of(exchange_metrics(process))
     """
     now_ms = process.world.now_ms()
     calls: entry.State = process.actors["calls"].state
@@ -23,6 +23,6 @@
             "spokeroute_open_calls": len(calls.calls),
             "spokeroute_held_instances": len(held.instances),
             "spokeroute_proof_age_seconds": (now_ms - calls.tables.proved_ms) / MS,
-            "spokeroute_silent_holders": len(calls.silence.since_ms),
+            "spokeroute_silent_holders": len(calls.silence.silent_since_ms),
         },
     )
--- a/spokeroute/exchange/moves.py
+++ b/spokeroute/exchange/moves.py
@@ -320,5 +320,5 @@
     state, call, each = end_attempt(state, attempt_id)
     if call is None or each is None:
         return state, ()
-    call = replace(call, unsent=True, why=Cause.DOWN.said("its holder can't be reached"))
+    call = replace(call, unsent=True, why=Cause.DOWN.with_detail("its holder can't be reached"))
     return go_on(state, call, now_ms)
--- a/spokeroute/exchange/outcomes.py
+++ b/spokeroute/exchange/outcomes.py
@@ -17,9 +17,9 @@
 from spokeroute.exchange.pick import STARTING_RULE
 from spokeroute.exchange.types import Attempt, Call
 
-MOST_SERVICES = 64  # that are counted by name
-MOST_NAME_CHARS = 64
-OTHER = "other"  # all services past the bound, together
+MAX_SERVICES = 64  # that are counted by name
+MAX_NAME_CHARS = 64
+OTHER_SERVICES = "other"  # all services past the bound, together
 NO_SERVICE = ""  # a call that matched no route
 
 
@@ -61,7 +61,7 @@
     NO_ANSWER = "no_answer_in_time"
 
 
-BY_KIND = {
+REASON_BY_KIND = {
     Kind.NO_ROUTE: Reason.NO_ROUTE,
     Kind.NO_KEY: Reason.NO_KEY,
     Kind.NO_REGION: Reason.BAD_REQUEST,
@@ -83,14 +83,14 @@
     Kind.LOST: Reason.INSTANCE_LOST,
 }
 MAY_HAVE_RUN = frozenset((Kind.UNKNOWN, Kind.BAD_ANSWER, Kind.LOST))
-HOLDER_TEXTS = {
+REASON_BY_LOSS_TEXT = {
     "its holder is silent": Reason.HOLDER_SILENT,
     "its holder began another life": Reason.HOLDER_LOST,
     "the instance's holder is gone": Reason.HOLDER_LOST,
     "the holder's link broke": Reason.HOLDER_LOST,
 }
 
-Key = tuple[str, str, str]
+OutcomeKey = tuple[str, str, str]
 """Service, outcome and reason."""
 
 
@@ -98,11 +98,11 @@
 class Outcomes:
     """Counts by service, outcome and reason: since this process began, and since they were told."""
 
-    total: Map[Key, int] = field(default_factory=Map)
-    untold: Map[Key, int] = field(default_factory=Map)
-    services: frozenset[str] = frozenset()  # that are counted by name
-    told: int = 0  # batches so far
-    told_ms: Ms = Ms(-(10**9))
+    total: Map[OutcomeKey, int] = field(default_factory=Map)
+    unreported: Map[OutcomeKey, int] = field(default_factory=Map)
+    named_services: frozenset[str] = frozenset()  # that are counted by name
+    reported_batches: int = 0  # batches so far
+    reported_ms: Ms = Ms(-(10**9))
 
     def count(self, service: str, outcome: Outcome, reason: Reason) -> Outcomes:
         """One more call.
@@ -111,30 +111,30 @@
             >>> list(Outcomes().count("s", Outcome.LATE, Reason.BOOT).total)
             [('s', 'late', 'waited_for_boot')]
         """
-        name = service[:MOST_NAME_CHARS]
-        services = self.services
+        name = service[:MAX_NAME_CHARS]
+        services = self.named_services
         if name not in services:
-            if len(services) >= MOST_SERVICES:
-                name = OTHER
+            if len(services) >= MAX_SERVICES:
+                name = OTHER_SERVICES
             services = services | {name}
         key = (name, outcome.value, reason.value)
         return replace(
             self,
             total=self.total.set(key, self.total.get(key, 0) + 1),
-            untold=self.untold.set(key, self.untold.get(key, 0) + 1),
-            services=services,
+            unreported=self.unreported.set(key, self.unreported.get(key, 0) + 1),
+            named_services=services,
         )
 
-    def batch(self, now_ms: Ms) -> tuple[Outcomes, tuple[tuple[Key, int], ...]]:
+    def batch(self, now_ms: Ms) -> tuple[Outcomes, tuple[tuple[OutcomeKey, int], ...]]:
         """What was counted since this was asked last, in order.
 
         Example:
             >>> Outcomes().batch(Ms(5))[1]
             ()
         """
-        rows = tuple(sorted(self.untold.items()))
-        told = self.told + 1 if rows else self.told
-        return replace(self, untold=Map(), told=told, told_ms=now_ms), rows
+        rows = tuple(sorted(self.unreported.items()))
+        told = self.reported_batches + 1 if rows else self.reported_batches
+        return replace(self, unreported=Map(), reported_batches=told, reported_ms=now_ms), rows
 
 
 def late_reason(call: Call, by: Attempt, far: bool, now_ms: Ms) -> Reason:
@@ -168,10 +168,10 @@
     kind = answer.kind or Kind.UNKNOWN
     outcome = Outcome.FAILED if kind in MAY_HAVE_RUN else Outcome.REFUSED
     if kind is Kind.LOST:
-        return outcome, HOLDER_TEXTS.get(why.partition(": ")[2], Reason.INSTANCE_LOST)
+        return outcome, REASON_BY_LOSS_TEXT.get(why.partition(": ")[2], Reason.INSTANCE_LOST)
     if kind is Kind.NO_ROOM and answer.early:
         return outcome, Reason.LONG_QUEUE
-    return outcome, BY_KIND[kind]
+    return outcome, REASON_BY_KIND[kind]
 
 
 def is_late(call: Call, now_ms: Ms) -> bool:
--- a/spokeroute/exchange/reasons.py
+++ b/spokeroute/exchange/reasons.py
@@ -19,7 +19,7 @@
     """What a reason begins with.
 
     Example:
-        >>> Cause.LOST.said("its link broke")
+        >>> Cause.LOST.with_detail("its link broke")
         'lost: its link broke'
     """
 
@@ -29,11 +29,11 @@
     LOST = "lost"  # it was sent, and no answer comes any more
     BAD_ANSWER = "bad answer"  # it was sent, and the answer is not whole
 
-    def said(self, detail: str) -> str:
+    def with_detail(self, detail: str) -> str:
         """The reason with its detail.
 
         Example:
-            >>> Cause.DOWN.said("it could not be reached lately")
+            >>> Cause.DOWN.with_detail("it could not be reached lately")
             'down: it could not be reached lately'
         """
         return f"{self.value}: {detail}"
--- a/spokeroute/exchange/requests.py
+++ b/spokeroute/exchange/requests.py
@@ -9,11 +9,11 @@
 from spokeroute.common.ids import CallId
 from spokeroute.exchange.types import CallIn
 from spokeroute.http.dialect import CallerDialect
-from spokeroute.http.framing import HOP
+from spokeroute.http.framing import HOP_BY_HOP
 from spokeroute.http.parser import Parser
 from spokeroute.transport.call_messages import Pairs
 
-DROPPED = HOP | {"expect", "http2-settings"}
+DROPPED_HEADERS = HOP_BY_HOP | {"expect", "http2-settings"}
 BAD_REQUESTS = {
     408: ("the request did not come in time", "send the request whole, at once"),
     413: ("body too large", "send a body within the documented bound"),
@@ -43,56 +43,56 @@
     return header.upper().replace("-", "_")
 
 
-def decoded(path: str) -> str:
+def decode_path(path: str) -> str:
     """A path to match routes by. What is no UTF-8 in it matches no route's own part.
 
     Example:
-        >>> decoded("//a/\\xc3\\xa4")
+        >>> decode_path("//a/\\xc3\\xa4")
         '/a/ä'
     """
     text = path if path.isascii() else path.encode("latin-1").decode("utf-8", "replace")
     return text if text[:1] == "/" and text[1:2] != "/" else "/" + text.lstrip("/")
 
 
-def said_wait_ms(raw: str, unsaid_ms: int) -> int:
+def parse_wait_ms(raw: str, default_ms: int) -> int:
     """How long a caller waits, as far as it says so.
 
     Example:
-        >>> said_wait_ms("700", 4_000), said_wait_ms("", 4_000)
+        >>> parse_wait_ms("700", 4_000), parse_wait_ms("", 4_000)
         (700, 4000)
     """
-    return int(raw) if raw.isascii() and raw.isdigit() and len(raw) < 8 else unsaid_ms
+    return int(raw) if raw.isascii() and raw.isdigit() and len(raw) < 8 else default_ms
 
 
 @lru_cache(maxsize=1024)
-def _spoken(key: str) -> tuple[str, str]:
+def _header_names(key: str) -> tuple[str, str]:
     name = key.replace("_", "-").title()
     return name, name.lower()
 
 
-def passed_on(headers: dict[str, str]) -> Pairs:
+def forwarded_headers(headers: dict[str, str]) -> Pairs:
     """The headers that are an instance's business too.
 
     Example:
-        >>> passed_on({"X_A": "1", "CONNECTION": "close, X-B", "X_B": "2"})
+        >>> forwarded_headers({"X_A": "1", "CONNECTION": "close, X-B", "X_B": "2"})
         (('X-A', '1'),)
     """
-    dropped = DROPPED
+    dropped = DROPPED_HEADERS
     if "CONNECTION" in headers:
         dropped = dropped | {x.strip().lower() for x in headers["CONNECTION"].split(",")}
     kept = []
     for key, value in headers.items():
-        name, low = _spoken(key)
+        name, low = _header_names(key)
         if low not in dropped:
             kept.append((name, value))
     return tuple(kept)
 
 
-def without_credential(headers: Pairs, name: str) -> tuple[Pairs, Pairs]:
+def split_credential(headers: Pairs, name: str) -> tuple[Pairs, Pairs]:
     """The headers without the caller's credential, and the credential.
 
     Example:
-        >>> without_credential((("A", "1"), ("Authorization", "Bearer k")), "authorization")
+        >>> split_credential((("A", "1"), ("Authorization", "Bearer k")), "authorization")
         ((('A', '1'),), (('Authorization', 'Bearer k'),))
     """
     kept = tuple(header for header in headers if header[0].lower() != name)
@@ -109,7 +109,7 @@
     def __init__(self, dialect: CallerDialect) -> None:
         self.wait_key = header_key(dialect.wait_header)
         self.attempt_key = header_key(dialect.attempt_header)
-        self.once_key = header_key(dialect.key_header)
+        self.idempotency_key = header_key(dialect.key_header)
         self.client_key = header_key(dialect.client_header)
         self.credential_name = dialect.credential_header.lower()
 
@@ -131,10 +131,10 @@
             reader.call(request, slot, CallId("ex1-0"), "10.0.0.9", "/readings", 0).path
         """
         headers = request.headers
-        shown, credential = without_credential(passed_on(headers), self.credential_name)
+        shown, credential = split_credential(forwarded_headers(headers), self.credential_name)
         body = request.get_body_stream().read() if request.body_rcv is not None else b""
         return CallIn(
             slot, call_id, headers.get(self.client_key) or address, request.command, path,
-            request.query, shown, body, self.wait(request), headers.get(self.once_key, ""),
+            request.query, shown, body, self.wait(request), headers.get(self.idempotency_key, ""),
             waited_ms, request.host, headers.get(self.attempt_key, ""), request.target, credential,
         )  # fmt: skip
--- a/spokeroute/exchange/round_trip.py
+++ b/spokeroute/exchange/round_trip.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 
 SMOOTHING = 1 / 8  # the weight of a new sample in the mean
-SPREAD_SMOOTHING = 1 / 4  # and in the mean deviation
-SPREAD_FACTOR = 4  # how many mean deviations the timeout lies above the mean
+DEVIATION_SMOOTHING = 1 / 4  # and in the mean deviation
+DEVIATION_FACTOR = 4  # how many mean deviations the timeout lies above the mean
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,17 +28,17 @@
         """
         return cls(took_ms, took_ms / 2)
 
-    def sampled(self, took_ms: float) -> RoundTrip:
+    def with_sample(self, took_ms: float) -> RoundTrip:
         """The estimate after one more sample.
 
         Example:
-            >>> RoundTrip(20.0, 0.0).sampled(28.0)
+            >>> RoundTrip(20.0, 0.0).with_sample(28.0)
             RoundTrip(smoothed_ms=21.0, deviation_ms=2.0)
         """
         off_ms = abs(took_ms - self.smoothed_ms)
         return RoundTrip(
             self.smoothed_ms + SMOOTHING * (took_ms - self.smoothed_ms),
-            self.deviation_ms + SPREAD_SMOOTHING * (off_ms - self.deviation_ms),
+            self.deviation_ms + DEVIATION_SMOOTHING * (off_ms - self.deviation_ms),
         )
 
     @property
@@ -49,4 +49,4 @@
             >>> RoundTrip(20.0, 5.0).timeout_ms
             40.0
         """
-        return self.smoothed_ms + SPREAD_FACTOR * self.deviation_ms
+        return self.smoothed_ms + DEVIATION_FACTOR * self.deviation_ms
--- a/spokeroute/exchange/seen.py
+++ b/spokeroute/exchange/seen.py
@@ -8,7 +8,7 @@
 
 from spokeroute.common.ids import Ms
 
-REMEMBER_MS = 30_000
+MIN_RETENTION_MS = 30_000
 """At least this long an attempt is remembered: a connection between nodes is given up after 3 s
 without an acknowledgement, so what is later than this comes over no connection of ours."""
 
@@ -35,8 +35,10 @@
         Example:
             seen = seen.add("c1.0", now_ms)
         """
-        if now_ms - self.since_ms < REMEMBER_MS:
+        if now_ms - self.since_ms < MIN_RETENTION_MS:
             return Seen(self.newer.set(attempt_id, True), self.older, self.since_ms)
         one: Map[str, bool] = Map({attempt_id: True})
-        older: Map[str, bool] = self.newer if now_ms - self.since_ms < 2 * REMEMBER_MS else Map()
+        older: Map[str, bool] = (
+            self.newer if now_ms - self.since_ms < 2 * MIN_RETENTION_MS else Map()
+        )
         return Seen(one, older, now_ms)
--- a/spokeroute/http/connections.py
+++ b/spokeroute/http/connections.py
@@ -19,15 +19,15 @@
 
 READ, WRITE = selectors.EVENT_READ, selectors.EVENT_WRITE
 READ_BYTES = 64 * 1024
-LINGER_S = 1.0
-LINGER_BYTES = 4 * 1024 * 1024
+LINGER_TIMEOUT_S = 1.0
+MAX_LINGER_BYTES = 4 * 1024 * 1024
 
 
-class Watched(dict[int, Any]):
+class SelectorMap(dict[int, Any]):
     """waitress's map of sockets, kept in step with a selector.
 
     Example:
-        Watched(selectors.DefaultSelector())
+        SelectorMap(selectors.DefaultSelector())
     """
 
     def __init__(self, selector: selectors.BaseSelector) -> None:
@@ -43,11 +43,11 @@
         with contextlib.suppress(KeyError):
             self.selector.unregister(fd)
 
-    def want(self, fd: int, each: Any, old: int, new: int) -> int:
+    def update_events(self, fd: int, each: Any, old: int, new: int) -> int:
         """Wait for other events on a socket.
 
         Example:
-            watched = self.want(fd, channel, READ, READ | WRITE)
+            watched_events = self.update_events(fd, channel, READ, READ | WRITE)
         """
         if old == new:
             return new
@@ -65,14 +65,14 @@
 
     parser_class = Parser
     requests: list[Any]
-    watched = READ
+    watched_events = READ
     served = 0
     admitted = 0
     """Requests that were read before intake ended, in whole or in part."""
-    open = False
+    awaiting_answer = False
     """Whether the first request was handed on and has no answer yet."""
-    partial: Any = None
-    partial_s = 0.0
+    partial_request: Any = None
+    partial_since_s = 0.0
     lingers = True
     linger_until_s = 0.0
     lingered_bytes = 0
@@ -84,11 +84,11 @@
         Example:
             connection.last_activity <= time.monotonic()
         """
-        return self._active_s
+        return self._last_activity_s
 
     @last_activity.setter
     def last_activity(self, wall_s: float) -> None:
-        self._active_s = time.monotonic()
+        self._last_activity_s = time.monotonic()
 
     def handle(self, mask: int) -> None:
         """Read and write what can be.
@@ -126,14 +126,14 @@
             return
         if self.linger_until_s:
             self.lingered_bytes += len(data)
-            if self.lingered_bytes > LINGER_BYTES:
+            if self.lingered_bytes > MAX_LINGER_BYTES:
                 self.handle_close()
             return
-        self._active_s = time.monotonic()
+        self._last_activity_s = time.monotonic()
         self.adj = self.server.adj
         self.received(data)
-        if self.request is not self.partial:
-            self.partial, self.partial_s = self.request, self._active_s
+        if self.request is not self.partial_request:
+            self.partial_request, self.partial_since_s = self.request, self._last_activity_s
 
     def answer(self, data: bytes, close: bool, lingers: bool = True) -> None:
         """Write the answer to the first request; ``close`` ends the connection after it, with a
@@ -143,7 +143,7 @@
             connection.answer(b"HTTP/1.1 204 No Content\\r\\n\\r\\n", close=False)
         """
         self.lingers = lingers
-        self.open = False
+        self.awaiting_answer = False
         if self.socket is None or not self.requests:
             return
         self.requests.pop(0).close()
@@ -158,7 +158,9 @@
         elif self.requests:
             self.server.add_task(self)
         elif self.request is not None:
-            self.partial_s = self._active_s  # the part that was read has its whole time yet
+            self.partial_since_s = (
+                self._last_activity_s
+            )  # the part that was read has its whole time yet
             waits = self.request.expect_continue and self.request.headers_finished
             if waits and not self.sent_continue:
                 self.send_continue()
@@ -199,7 +201,7 @@
             return
         new = READ if self.linger_until_s or self.readable() else 0
         new |= WRITE if self.total_outbufs_len else 0
-        self.watched = self._map.want(self._fileno, self, self.watched, new)
+        self.watched_events = self._map.update_events(self._fileno, self, self.watched_events, new)
 
     def linger(self) -> None:
         """Say that nothing more comes, and read on for a while: a close with unread bytes would
@@ -214,7 +216,7 @@
         except OSError:
             self.handle_close()
             return
-        self.linger_until_s = time.monotonic() + LINGER_S
+        self.linger_until_s = time.monotonic() + LINGER_TIMEOUT_S
 
     def handle_close(self) -> None:
         """End it at once.
@@ -225,8 +227,8 @@
         if self.socket is None:
             return
         super().handle_close()
-        if self.open:
-            self.server.gone.append(self)
+        if self.awaiting_answer:
+            self.server.closed_connections.append(self)
 
     @property
     def idle(self) -> bool:
@@ -237,11 +239,11 @@
         """
         return not (self.requests or self.request is not None or self.total_outbufs_len)
 
-    def overdue(self, now_s: float, limits: Limits) -> bool:
+    def check_timeouts(self, now_s: float, limits: Limits) -> bool:
         """Look after it; whether a request began on it and did not come whole in time.
 
         Example:
-            connection.overdue(time.monotonic(), Limits())
+            connection.check_timeouts(time.monotonic(), Limits())
         """
         if self.linger_until_s:
             if now_s >= self.linger_until_s:
@@ -250,21 +252,21 @@
         if self.requests:
             return False
         if self.request is not None:
-            return (now_s - self.partial_s) * 1000 >= limits.header_timeout_ms
-        if (now_s - self._active_s) * 1000 < limits.idle_timeout_ms:
+            return (now_s - self.partial_since_s) * 1000 >= limits.header_timeout_ms
+        if (now_s - self._last_activity_s) * 1000 < limits.idle_timeout_ms:
             return False
         if self.total_outbufs_len:  # nobody reads its answer
             self.handle_close()
             return False
-        self.rest()
+        self.close_if_idle()
         return False
 
-    def rest(self) -> None:
+    def close_if_idle(self) -> None:
         """Close it if nothing has arrived on it that was not read yet. What comes after that is
         left unread, so that its sender sees that nobody took it.
 
         Example:
-            connection.rest()
+            connection.close_if_idle()
         """
         self.handle(READ)
         if self.idle and not self.linger_until_s:
--- a/spokeroute/http/dialect.py
+++ b/spokeroute/http/dialect.py
@@ -49,7 +49,7 @@
     """An answer that carries it says: not run."""
     misdirected_status: int = 0
     """Says: another instance is at that address, and it did not run the call."""
-    promises: tuple[int, ...] = ()
+    not_run_statuses: tuple[int, ...] = ()
     """Statuses that promise a caller that the call did not run. From an instance they count only
     with its word that it did not."""
     seal_header: str = ""
@@ -64,5 +64,5 @@
     instance: InstanceDialect = field(default_factory=InstanceDialect)
 
 
-OWN = Dialect()
+DEFAULT_DIALECT = Dialect()
 """The product's own."""
--- a/spokeroute/http/framing.py
+++ b/spokeroute/http/framing.py
@@ -1,7 +1,8 @@
 """Framing: an answer's bytes on a caller's connection.
 
 Example:
-    >>> head_of(Answer(204, (), b""), b"", Framing("GET")).startswith(b"HTTP/1.1 204 No Content")
+    >>> head = response_head(Answer(204, (), b""), b"", Framing("GET"))
+    >>> head.startswith(b"HTTP/1.1 204 No Content")
     True
 """
 
@@ -12,11 +13,11 @@
 
 from spokeroute.common.answers import Answer
 
-REASONS = {each.value: each.phrase for each in HTTPStatus} | {
+REASON_PHRASES = {each.value: each.phrase for each in HTTPStatus} | {
     413: "Content Too Large",
     422: "Unprocessable Content",
 }
-HOP = frozenset(
+HOP_BY_HOP = frozenset(
     ("connection", "keep-alive", "te", "trailer", "trailers", "transfer-encoding", "upgrade",
      "proxy-connection", "proxy-authenticate", "proxy-authorization", "content-length")
 )  # fmt: skip
@@ -33,31 +34,31 @@
     keep_alive_s: int = 0
 
 
-def hops(headers: tuple[tuple[str, str], ...]) -> frozenset[str]:
+def hop_by_hop_headers(headers: tuple[tuple[str, str], ...]) -> frozenset[str]:
     """The headers that concern this connection only: the known ones, and those that
     ``Connection`` names.
 
     Example:
-        >>> "x-a" in hops((("Connection", "close, X-A"),))
+        >>> "x-a" in hop_by_hop_headers((("Connection", "close, X-A"),))
         True
     """
     named = [v for k, v in headers if k.lower() == "connection"]
     if not named:
-        return HOP
-    return HOP | {token.strip().lower() for value in named for token in value.split(",")}
+        return HOP_BY_HOP
+    return HOP_BY_HOP | {token.strip().lower() for value in named for token in value.split(",")}
 
 
-def head_of(answer: Answer, body: bytes, framing: Framing) -> bytes:
+def response_head(answer: Answer, body: bytes, framing: Framing) -> bytes:
     """The status line and the headers, with the length of ``body`` where one is told. A date is
     the instance's own: no wall clock of ours is trusted.
 
     Example:
-        >>> b"Content-Length: 2" in head_of(Answer(200, (), b"{}"), b"{}", Framing("GET"))
+        >>> b"Content-Length: 2" in response_head(Answer(200, (), b"{}"), b"{}", Framing("GET"))
         True
     """
     status = answer.status
-    lines = [f"HTTP/{framing.version} {status} {REASONS.get(status, 'Status')}"]
-    dropped = hops(answer.headers)
+    lines = [f"HTTP/{framing.version} {status} {REASON_PHRASES.get(status, 'Status')}"]
+    dropped = hop_by_hop_headers(answer.headers)
     length = ""
     for name, value in answer.headers:
         low = name.lower()
@@ -85,13 +86,13 @@
     return "\r\n".join(lines).encode("latin-1", "replace")
 
 
-def whole(answer: Answer, framing: Framing) -> bytes:
+def response_bytes(answer: Answer, framing: Framing) -> bytes:
     """All bytes of an answer.
 
     Example:
-        >>> whole(Answer(200, (), b"{}"), Framing("GET")).endswith(b"{}")
+        >>> response_bytes(Answer(200, (), b"{}"), Framing("GET")).endswith(b"{}")
         True
     """
-    head = head_of(answer, answer.body, framing)
+    head = response_head(answer, answer.body, framing)
     bare = framing.method == "HEAD" or answer.status in (204, 304)
     return head if bare else head + answer.body
--- a/spokeroute/http/listener.py
+++ b/spokeroute/http/listener.py
@@ -16,35 +16,35 @@
 from waitress.adjustments import Adjustments
 from waitress.server import TcpWSGIServer
 
-from spokeroute.http.connections import READ, Connection, Watched
+from spokeroute.http.connections import READ, Connection, SelectorMap
 from spokeroute.http.wsgi import Limits
 
-MOST_ACCEPTED = 64  # in one turn
-MOST_CONNECTIONS = 2_000
-SWEEP_S = 0.25
-NEVER_BYTES = 1 << 40  # neither files nor waits for a writer: bounds stand elsewhere
+MAX_ACCEPTS_PER_TURN = 64  # in one turn
+MAX_CONNECTIONS = 2_000
+SWEEP_INTERVAL_S = 0.25
+UNLIMITED_BYTES = 1 << 40  # neither files nor waits for a writer: bounds stand elsewhere
 
 
 class Listener(TcpWSGIServer):  # type: ignore[misc]
     """A listening socket and its connections.
 
     Example:
-        Listener("127.0.0.1:8001", Watched(selector), Limits())
+        Listener("127.0.0.1:8001", SelectorMap(selector), Limits())
     """
 
     channel_class = Connection
     adj: Any
-    watched = READ
+    watched_events = READ
 
-    def __init__(self, address: str, watched: Watched, limits: Limits) -> None:
-        self.arrived: deque[Connection] = deque()
-        self.gone: deque[Connection] = deque()
+    def __init__(self, address: str, watched: SelectorMap, limits: Limits) -> None:
+        self.ready_connections: deque[Connection] = deque()
+        self.closed_connections: deque[Connection] = deque()
         adjustments = Adjustments(
             listen=address,
             backlog=1024,
-            outbuf_overflow=NEVER_BYTES,
-            outbuf_high_watermark=NEVER_BYTES,
-            inbuf_overflow=NEVER_BYTES,
+            outbuf_overflow=UNLIMITED_BYTES,
+            outbuf_high_watermark=UNLIMITED_BYTES,
+            inbuf_overflow=UNLIMITED_BYTES,
             channel_request_lookahead=1,
             clear_untrusted_proxy_headers=False,
             ident="spokeroute",
@@ -55,9 +55,9 @@
         )  # fmt: skip
         self.trigger.close()  # nothing writes from another thread
         files = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-        self.most = min(MOST_CONNECTIONS, max(64, files // 2))
+        self.max_connections = min(MAX_CONNECTIONS, max(64, files // 2))
         self.paused = False
-        self.swept_s = time.monotonic()
+        self.last_sweep_s = time.monotonic()
         self.limits = limits
 
     @property
@@ -84,7 +84,7 @@
         Example:
             listener.add_task(connection)
         """
-        self.arrived.append(task)
+        self.ready_connections.append(task)
 
     def pull_trigger(self) -> None:
         """Nobody sleeps on waitress's own loop."""
@@ -95,8 +95,8 @@
         Example:
             listener.handle(selectors.EVENT_READ)
         """
-        for _ in range(MOST_ACCEPTED):
-            if len(self.active_channels) >= self.most:
+        for _ in range(MAX_ACCEPTS_PER_TURN):
+            if len(self.active_channels) >= self.max_connections:
                 break
             try:
                 accepted, address = self.socket.accept()
@@ -121,8 +121,10 @@
         """
         if self.socket is None:
             return
-        room = not self.paused and len(self.active_channels) < self.most
-        self.watched = self._map.want(self._fileno, self, self.watched, READ if room else 0)
+        room = not self.paused and len(self.active_channels) < self.max_connections
+        self.watched_events = self._map.update_events(
+            self._fileno, self, self.watched_events, READ if room else 0
+        )
 
     def sweep(self, now_s: float) -> list[Connection]:
         """Look after every connection; those whose request did not come whole in time.
@@ -131,12 +133,12 @@
             listener.sweep(time.monotonic())
         """
         limits = self._limits
-        lag_s = now_s - self.swept_s - SWEEP_S
-        if lag_s > SWEEP_S:  # what this process slept through is no caller's delay
+        lag_s = now_s - self.last_sweep_s - SWEEP_INTERVAL_S
+        if lag_s > SWEEP_INTERVAL_S:  # what this process slept through is no caller's delay
             for each in self.active_channels.values():
-                each.partial_s += lag_s
-        self.swept_s = now_s
-        late = [x for x in list(self.active_channels.values()) if x.overdue(now_s, limits)]
+                each.partial_since_s += lag_s
+        self.last_sweep_s = now_s
+        late = [x for x in list(self.active_channels.values()) if x.check_timeouts(now_s, limits)]
         self.paused = False
         self.update()
         return late
@@ -151,22 +153,22 @@
             each.handle(READ)
             each.admitted = len(each.requests) + (each.request is not None)
 
-    def rest(self) -> None:
+    def close_idle(self) -> None:
         """Close connections that have had their answers and that nothing has arrived on.
 
         Example:
-            listener.rest()
+            listener.close_idle()
         """
         for each in list(self.active_channels.values()):
             if each.served and each.idle and not each.linger_until_s:
-                each.rest()
+                each.close_if_idle()
 
     @property
-    def partial(self) -> list[Connection]:
+    def partial_connections(self) -> list[Connection]:
         """Connections on which a part of a request was read before intake ended.
 
         Example:
-            listener.partial == []
+            listener.partial_connections == []
         """
         channels = self.active_channels.values()
         return [x for x in channels if x.request is not None and x.admitted > 0]
@@ -179,24 +181,26 @@
             listener.busy
         """
         channels = self.active_channels.values()
-        return any(x.requests or x.total_outbufs_len for x in channels) or bool(self.partial)
+        return any(x.requests or x.total_outbufs_len for x in channels) or bool(
+            self.partial_connections
+        )
 
-    def shut(self) -> None:
+    def stop_accepting(self) -> None:
         """Listen no more. Who came until now is taken in; its request is still read.
 
         Example:
-            listener.shut()
+            listener.stop_accepting()
         """
         if self.socket is not None:
             self.handle(READ)
             self.close()
 
     @property
-    def parting(self) -> bool:
+    def has_unclosed(self) -> bool:
         """Whether somebody has not closed yet after its last answer, or came and said nothing.
 
         Example:
-            listener.parting
+            listener.has_unclosed
         """
         channels = self.active_channels.values()
         return any(x.linger_until_s or not x.served for x in channels)
--- a/spokeroute/http/parser.py
+++ b/spokeroute/http/parser.py
@@ -19,11 +19,11 @@
 METHOD = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Z]+")
 NAME = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
 TARGET = re.compile(r"[\x21-\x7e]+")
-ABSOLUTE = re.compile(r"[Hh][Tt][Tt][Pp][Ss]?://([^/?#]*)(.*)")
+ABSOLUTE_TARGET = re.compile(r"[Hh][Tt][Tt][Pp][Ss]?://([^/?#]*)(.*)")
 HOST = re.compile(r"(?:[A-Za-z0-9._~%!$&'()*+;=-]*|\[[0-9A-Fa-f:.]+\])(?::[0-9]*)?")
-CONTROL = re.compile(r"[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]")
-CHUNK_ROOM_BYTES = 64 * 1024
-MOST_DIGITS = 18
+CONTROL_CHARS = re.compile(r"[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]")
+CHUNK_OVERHEAD_BYTES = 64 * 1024
+MAX_LENGTH_DIGITS = 18
 
 
 @lru_cache(maxsize=2048)
@@ -54,17 +54,17 @@
             parser.received(data) <= len(data)
         """
         if self.chunked and self.body_rcv is not None:
-            return self._chunks(data, self.adj.max_request_body_size)
+            return self._receive_chunks(data, self.adj.max_request_body_size)
         return int(super().received(data))
 
-    def _chunks(self, data: bytes, most_bytes: int) -> int:
+    def _receive_chunks(self, data: bytes, most_bytes: int) -> int:
         """A body's bound counts its bytes, and leaves room for what marks the chunks."""
         if self.completed:
             return 0
         body = self.body_rcv
         taken = int(body.received(data))
         self.body_bytes_received += taken
-        marked_bytes = 2 * most_bytes + CHUNK_ROOM_BYTES
+        marked_bytes = 2 * most_bytes + CHUNK_OVERHEAD_BYTES
         if len(body) >= most_bytes or self.body_bytes_received > marked_bytes:
             self.error = RequestEntityTooLarge("the body is over the bound")
             self.completed = True
@@ -85,7 +85,7 @@
         text = header_plus.decode("latin-1")
         lines = text.split("\r\n")
         ends = len(lines) - 1
-        if text.count("\r") != ends or text.count("\n") != ends or CONTROL.search(text):
+        if text.count("\r") != ends or text.count("\n") != ends or CONTROL_CHARS.search(text):
             raise ParsingError("the head has bytes that no head may have")
         first = lines[0].split(" ")
         if len(first) != 3 or not METHOD.fullmatch(first[0]) or first[2] not in VERSIONS:
@@ -118,7 +118,7 @@
             raise ParsingError("the target can't be read")
         host = self.headers.get("HOST")
         if not target.startswith("/") and target != "*":
-            absolute = ABSOLUTE.fullmatch(target)
+            absolute = ABSOLUTE_TARGET.fullmatch(target)
             if absolute is None:
                 raise ParsingError("the target is neither a path nor a whole address")
             host, rest = absolute.groups()
@@ -144,7 +144,9 @@
         elif length is not None:
             if not length.isascii() or not length.isdigit():
                 raise ParsingError("the length can't be read")
-            self.content_length = int(length) if len(length) <= MOST_DIGITS else 10**MOST_DIGITS
+            self.content_length = (
+                int(length) if len(length) <= MAX_LENGTH_DIGITS else 10**MAX_LENGTH_DIGITS
+            )
             if self.content_length:
                 buffer = OverflowableBuffer(self.adj.inbuf_overflow)
                 self.body_rcv = FixedStreamReceiver(self.content_length, buffer)
--- a/spokeroute/http/reader.py
+++ b/spokeroute/http/reader.py
@@ -15,53 +15,53 @@
 
 from spokeroute.common.clock import monotonic_ms
 
-MOST_LINES_BYTES = 256 * 1024
-PART_BYTES = 64 * 1024
+MAX_LINES_BYTES = 256 * 1024
+READ_BYTES = 64 * 1024
 CHUNK_SIZE = re.compile(rb"([0-9A-Fa-f]{1,8})[ \t]*(?:;[^\r\n]*)?\r\n")
-LENGTH = re.compile(r"[0-9]{1,18}")
-NO_BODY = (204, 304)
+CONTENT_LENGTH = re.compile(r"[0-9]{1,18}")
+BODILESS_STATUSES = (204, 304)
 
 
 class UntrustedError(Exception):
     """An answer that can't be trusted."""
 
 
-class Lines:
+class BoundedReader:
     """A connection's bytes, of which each line must end, and all lines together soon.
 
     Example:
-        Lines(sock.makefile("rb")).readline()
+        BoundedReader(sock.makefile("rb")).readline()
     """
 
     def __init__(self, raw: BufferedReader[Any], deadline_ms: int = 0) -> None:
         self.raw = raw
-        self.left_bytes = MOST_LINES_BYTES
+        self.left_bytes = MAX_LINES_BYTES
         self.deadline_ms = deadline_ms
-        self.begun = False
+        self.started = False
 
-    def readline(self, most_bytes: int = PART_BYTES) -> bytes:
+    def readline(self, most_bytes: int = READ_BYTES) -> bytes:
         """A whole line; an error for what ends without one.
 
         Example:
             lines.readline() == b"HTTP/1.1 200 OK\\r\\n"
         """
         line = self.raw.readline(most_bytes)
-        if not line and not self.begun:
+        if not line and not self.started:
             raise RemoteDisconnected("closed without an answer")
-        self.begun = True
+        self.started = True
         if not line.endswith(b"\n"):
             raise UntrustedError("cut in a line")
         self.left_bytes -= len(line)
         if self.left_bytes < 0:
             raise UntrustedError("lines out of bounds")
-        self.in_time()
+        self.check_deadline()
         return line
 
-    def in_time(self) -> None:
+    def check_deadline(self) -> None:
         """An error once the time to read it is over.
 
         Example:
-            lines.in_time()
+            lines.check_deadline()
         """
         if self.deadline_ms and monotonic_ms() > self.deadline_ms:
             raise UntrustedError("it did not end in time")
@@ -74,10 +74,10 @@
         """
         parts: list[bytes] = []
         while size:
-            part = self.raw.read1(min(size, PART_BYTES))
+            part = self.raw.read1(min(size, READ_BYTES))
             if not part:
                 raise UntrustedError("cut short")
-            self.in_time()
+            self.check_deadline()
             parts.append(part)
             size -= len(part)
         return b"".join(parts)
@@ -109,50 +109,50 @@
 
     def __init__(self, sock: socket.socket, *rest: Any, deadline_ms: int = 0, **named: Any) -> None:
         super().__init__(sock, *rest, **named)
-        self.lines = Lines(self.fp, deadline_ms)
-        self.fp = self.lines
+        self.reader = BoundedReader(self.fp, deadline_ms)
+        self.fp = self.reader
 
-    def one(self, name: str) -> str | None:
+    def header_value(self, name: str) -> str | None:
         """A header's value, of all its lines; None where it is not there.
 
         Example:
-            response.one("Content-Length") == "4"
+            response.header_value("Content-Length") == "4"
         """
         values = self.headers.get_all(name)
         return None if values is None else ", ".join(values)
 
-    def whole(self, most_bytes: int, method: str = "GET") -> bytes:
+    def read_body(self, most_bytes: int, method: str = "GET") -> bytes:
         """The whole body of an answer whose end is framed; an UntrustedError for any other.
 
         Example:
-            response.whole(4096)
+            response.read_body(4096)
         """
         if self.headers.defects or self.headers.get_payload():
             raise UntrustedError("a header line that is none")
         if self.status < 200:
             raise UntrustedError(f"status {self.status}")
-        length, coding = self.one("Content-Length"), self.one("Transfer-Encoding")
+        length, coding = self.header_value("Content-Length"), self.header_value("Transfer-Encoding")
         if length is not None and coding is not None:
             raise UntrustedError("length and coding at once")
         if coding is not None and coding.lower() != "chunked":
             raise UntrustedError("a coding that is not read here")
-        if length is not None and not LENGTH.fullmatch(length):
+        if length is not None and not CONTENT_LENGTH.fullmatch(length):
             raise UntrustedError("a length that is none")
         if length is not None and int(length) > most_bytes:
             raise UntrustedError("a length out of bounds")
-        if method == "HEAD" or self.status in NO_BODY:
+        if method == "HEAD" or self.status in BODILESS_STATUSES:
             return b""
         if coding is not None:
-            return self._chunks(most_bytes)
+            return self._read_chunks(most_bytes)
         if length is None:
             raise UntrustedError("no framing")
-        return self.lines.read(int(length))
+        return self.reader.read(int(length))
 
-    def _chunks(self, most_bytes: int) -> bytes:
+    def _read_chunks(self, most_bytes: int) -> bytes:
         parts: list[bytes] = []
         left_bytes = most_bytes
         while True:
-            found = CHUNK_SIZE.fullmatch(self.lines.readline())
+            found = CHUNK_SIZE.fullmatch(self.reader.readline())
             if found is None:
                 raise UntrustedError("a chunk's size that is none")
             size = int(found[1], 16)
@@ -161,30 +161,30 @@
             left_bytes -= size
             if left_bytes < 0:
                 raise UntrustedError("a body out of bounds")
-            parts.append(self.lines.read(size))
-            if self.lines.readline() != b"\r\n":
+            parts.append(self.reader.read(size))
+            if self.reader.readline() != b"\r\n":
                 raise UntrustedError("a chunk that does not end")
-        while self.lines.readline() != b"\r\n":
+        while self.reader.readline() != b"\r\n":
             pass  # trailers
         return b"".join(parts)
 
-    def surplus(self, sock: socket.socket) -> bool:
+    def has_surplus(self, sock: socket.socket) -> bool:
         """Whether there are bytes after a whole answer, or the connection ended.
 
         Example:
-            response.surplus(conn.sock)
+            response.has_surplus(conn.sock)
         """
         sock.settimeout(0)
         try:
-            more = self.lines.raw.peek(1)
+            more = self.reader.raw.peek(1)
             if more:
                 return True
-            return _ended(sock)
+            return _connection_ended(sock)
         except OSError:
             return True
 
 
-def _ended(sock: socket.socket) -> bool:
+def _connection_ended(sock: socket.socket) -> bool:
     try:
         return sock.recv(1, socket.MSG_PEEK) is not None
     except BlockingIOError:
--- a/tests/sends_model.py
+++ b/tests/sends_model.py
@@ -149,7 +149,7 @@
 
     def read_floor(self, node: NodeId) -> None:
         state = replace(self.holders[node], tables=self.tables())
-        state, effects = holder._follow_floor(state, self.now_ms)
+        state, effects = holder._apply_placement(state, self.now_ms)
         self.holders[node] = state
         self.carry(node, effects)
 
@@ -204,7 +204,7 @@
         assert len(self.notes) == sum(self.entry.resends.values()) == self.again
         outcomes = self.entry.outcomes
         told = sum(row.count for row in self.outcome_rows)
-        assert told + sum(outcomes.untold.values()) == sum(outcomes.total.values())
+        assert told + sum(outcomes.unreported.values()) == sum(outcomes.total.values())
         assert sum(outcomes.total.values()) == self.badly  # no route here has an aim
         for each in self.callers.values():
             assert each.answers <= 1, f"{each.call_id} was answered twice"
--- a/tests/sim/platform.py
+++ b/tests/sim/platform.py
@@ -18,7 +18,7 @@
 from spokeroute.dispatch.placement.platform import PlatformCall, PlatformDone, PlatformListed
 from spokeroute.dispatch.placement.workbook import Listed
 from spokeroute.dispatch.scaling.scaler import WorkerSeat
-from spokeroute.exchange.connect import Connect, ConnectDone
+from spokeroute.exchange.connect import ConnectDone, ConnectJob
 from spokeroute.exchange.types import AttemptDone, SendAttempt
 from tools.log import Dial, Emptied, Run
 
@@ -210,7 +210,7 @@
             self.end(each)
         return PlatformDone("stop", job.instance, "ok", "")
 
-    def connect(self, node: Any, job: Connect, born: int) -> Steps:
+    def connect(self, node: Any, job: ConnectJob, born: int) -> Steps:
         """A plain connect to an instance's address."""
         yield self.env.timeout(1.5)
         yield from node.awake()
--- a/tests/sim/world.py
+++ b/tests/sim/world.py
@@ -17,8 +17,8 @@
 from spokeroute.dispatch.configuration.configuration import TableReader
 from spokeroute.dispatch.placement.platform import ListPlatform, PlatformCall
 from spokeroute.dispatch.placement.role import ProcessEnded
-from spokeroute.exchange.connect import Connect
-from spokeroute.exchange.sender import Token
+from spokeroute.exchange.connect import ConnectJob
+from spokeroute.exchange.sender import SendToken
 from spokeroute.exchange.types import AttemptDone, LinkDown, Revoke, SendAttempt
 from spokeroute.ledger.writer import LedgerWrite
 from spokeroute.nodes import Start, build_exchange
@@ -66,7 +66,7 @@
         self.woken = self.env.event()
         self.slots: dict[int, Callable[[Answer], None]] = {}
         self.next_slot = 0
-        self.tokens: dict[str, Token] = {}
+        self.tokens: dict[str, SendToken] = {}
 
     # the world that the product's process stands on
 
@@ -106,14 +106,14 @@
             case Compile():
                 self.env.process(self._compile(actor, job, born))
             case SendAttempt():
-                token = Token()
+                token = SendToken()
                 self.tokens[job.attempt_id] = token
                 self.env.process(self.sim.platform.send_attempt(self, job, token, born))
             case Revoke(attempt_id):
                 held = self.tokens.get(attempt_id)
                 if held is not None and held.revoke():
                     self.report("holder", AttemptDone(attempt_id, Ran.NO, "dropped"), born)
-            case Connect():
+            case ConnectJob():
                 self.env.process(self.sim.platform.connect(self, job, born))
             case ListPlatform():
                 self.env.process(self.sim.platform.list(self, actor, born))
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -20,9 +20,9 @@
 from spokeroute.common.answers import Ran
 from spokeroute.common.clock import monotonic_ms
 from spokeroute.common.ids import Ms
-from spokeroute.exchange.sender import Line, Sender
+from spokeroute.exchange.sender import InstanceConnection, Sender
 from spokeroute.exchange.types import AttemptDone, SendAttempt
-from spokeroute.http.reader import Lines, Response, UntrustedError
+from spokeroute.http.reader import BoundedReader, Response, UntrustedError
 from tests.scripted_instance import CERTAIN, How, Instance, body_of, chunked, reply
 from tests.test_edge import send_attempt
 from tests.test_sender_dialect import DIALECT
@@ -118,7 +118,7 @@
         def __ne__(self, other: object) -> bool:
             return False
 
-    honest = Response.one
+    honest = Response.header_value
     patch.setattr(
         Response, "one",
         lambda self, name: Same("") if name == "Attempt" else honest(self, name),
@@ -128,25 +128,27 @@
 def same_line(patch: pytest.MonkeyPatch) -> None:
     """A call that was turned away goes again over the connection that said so."""
     never = property(lambda self: set(), lambda self, value: None)
-    patch.setattr(Line, "turned_away", never, raising=False)
+    patch.setattr(InstanceConnection, "rejected_attempts", never, raising=False)
 
 
 def sends_again(patch: pytest.MonkeyPatch) -> None:
     """After a lost answer the bytes go out once more."""
-    honest = Sender._exchange
+    honest = Sender._send_and_receive
 
-    def exchange(self: Sender, job: SendAttempt, line: Line) -> AttemptDone:
+    def exchange(self: Sender, job: SendAttempt, line: InstanceConnection) -> AttemptDone:
         try:
             return honest(self, job, line)
         except OSError:
-            return honest(self, job, self._line(job, 1.0))
+            return honest(self, job, self._connection(job, 1.0))
 
-    patch.setattr(Sender, "_exchange", exchange)
+    patch.setattr(Sender, "_send_and_receive", exchange)
 
 
 def lax_lines(patch: pytest.MonkeyPatch) -> None:
     """A line counts though it was cut."""
-    patch.setattr(Lines, "readline", lambda self, most_bytes=65536: self.raw.readline(most_bytes))
+    patch.setattr(
+        BoundedReader, "readline", lambda self, most_bytes=65536: self.raw.readline(most_bytes)
+    )
 
 
 @pytest.mark.parametrize("plant", [any_id, same_line, sends_again, lax_lines])
@@ -159,8 +161,8 @@
         shuffled(600)
 
 
-def only_line(bench: Bench) -> Line:
-    ((line,),) = bench.sender.idle.values()
+def only_line(bench: Bench) -> InstanceConnection:
+    ((line,),) = bench.sender.idle_connections.values()
     return line
 
 
@@ -176,7 +178,7 @@
 
 
 def test_a_pool_that_keeps_a_doubted_connection_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Line, "spoken", False)
+    monkeypatch.setattr(InstanceConnection, "has_unread_data", False)
     bench = Bench([(How.WHOLE, 0), (How.WHOLE, 0)])
     assert bench.judged("c0").ran == Ran.YES
     bench.instance.sockets[0].sendall(reply("c1", b"not yet asked"))
@@ -198,10 +200,10 @@
 
 
 def test_a_connection_that_turned_many_away_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("spokeroute.exchange.sender.MOST_TURNED_AWAY", 2)
+    monkeypatch.setattr("spokeroute.exchange.sender.MAX_REJECTED_ATTEMPTS", 2)
     bench = Bench([(How.AWAY, 0)] * 2)
     assert [bench.judged(f"c{n}").ran for n in range(2)] == [Ran.NO] * 2
-    assert bench.sender.idle == {("r-1", bench.instance.address): []}
+    assert bench.sender.idle_connections == {("r-1", bench.instance.address): []}
     bench.close()
 
 
@@ -209,8 +211,8 @@
     bench = Bench([(How.WHOLE, 0)])
     bench.judged("c0")
     kept = only_line(bench)
-    bench.sender._sweep(kept.idle_since + 21.0)
-    assert bench.sender.idle == {} and kept.conn.sock is None
+    bench.sender._evict_idle(kept.idle_since + 21.0)
+    assert bench.sender.idle_connections == {} and kept.conn.sock is None
     bench.close()
 
 
@@ -232,8 +234,8 @@
         theirs.shutdown(socket.SHUT_WR)
         answer = Response(ours, method=method)
         answer.begin()
-        body = answer.whole(4096, method)
-        more = answer.surplus(ours)
+        body = answer.read_body(4096, method)
+        more = answer.has_surplus(ours)
         answer.close()
         return body, more
 
@@ -274,13 +276,13 @@
 def test_an_answer_that_comes_in_drops_ends_with_the_wait() -> None:
     """Also its head: each drop comes in time for the socket, the whole does not."""
     head = BufferedReader(BytesIO(b"HTTP/1.1 200 X\r\n"))
-    assert Lines(head, monotonic_ms() + 60_000).readline() == b"HTTP/1.1 200 X\r\n"
+    assert BoundedReader(head, monotonic_ms() + 60_000).readline() == b"HTTP/1.1 200 X\r\n"
     with pytest.raises(UntrustedError, match="in time"):
-        Lines(BufferedReader(BytesIO(b"done\r\n")), 1).readline()
+        BoundedReader(BufferedReader(BytesIO(b"done\r\n")), 1).readline()
     with pytest.raises(UntrustedError, match="in time"):
-        Lines(BufferedReader(BytesIO(b"done\r\n")), 1).read(4)
+        BoundedReader(BufferedReader(BytesIO(b"done\r\n")), 1).read(4)
     endless = BufferedReader(BytesIO(b"X-A: b\r\n" * 100_000))
-    lines = Lines(endless)
+    lines = BoundedReader(endless)
     with pytest.raises(UntrustedError, match="out of bounds"):
         while lines.readline():
             pass
@@ -294,7 +296,7 @@
             theirs.sendall(data)
             answer = Response(ours, method="GET")
             answer.begin()
-            assert answer.whole(4096) == b"done"
-            assert answer.surplus(ours) is more
+            assert answer.read_body(4096) == b"done"
+            assert answer.has_surplus(ours) is more
             ours.settimeout(10)
     assert read(good)[1] is True  # the peer closed
--- a/tests/test_guests.py
+++ b/tests/test_guests.py
@@ -30,7 +30,7 @@
 from spokeroute.dispatch.placement.table import UP, Placed
 from spokeroute.exchange import calls, entry, holder
 from spokeroute.exchange.budget import Budget
-from spokeroute.exchange.lost_holders import lose_moved
+from spokeroute.exchange.lost_holders import fail_moved_attempts
 from spokeroute.exchange.reasons import NOT_HELD
 from spokeroute.exchange.types import Tables
 from spokeroute.transport.call_messages import (
@@ -41,7 +41,7 @@
 from tests.sim.acts import fall_and_return
 from tests.sim.cluster import Sim, configuration
 from tests.test_scenarios import clean
-from tests.test_silence import holding
+from tests.test_silent_holders import holding
 
 SAFE = Bounds(stale_ms=20_000, rejection_safe=True)
 
@@ -117,7 +117,7 @@
         tables = open_.tables
         other = {p.id: replace(p, holder=NodeId("ex9")) for p in tables.floor.instances}
         moved = replace(tables, by_id=Map(other))
-        state, effects = lose_moved(replace(open_, tables=moved), node.now_ms())
+        state, effects = fail_moved_attempts(replace(open_, tables=moved), node.now_ms())
         assert effects == () and state.calls == open_.calls
     safe.run(3_000)
     assert [a.status for a in asked] == [200] * 6
--- a/tests/test_judges.py
+++ b/tests/test_judges.py
@@ -290,12 +290,14 @@
 @pytest.mark.parametrize("plus", [3, 99])
 def test_cold_within_rate_speaks(sim: Sim, monkeypatch: pytest.MonkeyPatch, plus: int) -> None:
     sim.settle()
-    honest = HeldInstance._cold_room
+    honest = HeldInstance._warm_up_allows
     if plus == 99:
-        monkeypatch.setattr(HeldInstance, "_cold_room", lambda seat, now_ms: True)
+        monkeypatch.setattr(HeldInstance, "_warm_up_allows", lambda seat, now_ms: True)
     else:
-        monkeypatch.setattr(held_instance, "COLD_PLUS_PER_S", held_instance.COLD_PLUS_PER_S + plus)
-        assert HeldInstance._cold_room is honest
+        monkeypatch.setattr(
+            held_instance, "WARM_UP_EXTRA_PER_S", held_instance.WARM_UP_EXTRA_PER_S + plus
+        )
+        assert HeldInstance._warm_up_allows is honest
     services = configuration()["services"]
     services[0] = {**services[0], "name": "fresh", "coldMs": 8_000}
     routes = [{"path": "/readings", "service": "fresh", "methods": ["POST"], "repeatable": True,
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -14,10 +14,10 @@
 from spokeroute.dispatch.placement.placing import outcomes_by
 from spokeroute.dispatch.scaling.start_steps import StartStep, StartSteps
 from spokeroute.exchange.outcomes import (
-    BY_KIND,
-    MOST_NAME_CHARS,
-    MOST_SERVICES,
-    OTHER,
+    MAX_NAME_CHARS,
+    MAX_SERVICES,
+    OTHER_SERVICES,
+    REASON_BY_KIND,
     Outcome,
     Outcomes,
     Reason,
@@ -91,7 +91,7 @@
 @pytest.mark.parametrize("kind", list(Kind))
 def test_each_kind_of_refusal_has_a_reason(kind: Kind) -> None:
     outcome, reason = refusal_reason(refusal(kind, Ran.NO, "why"))
-    assert reason == BY_KIND[kind]
+    assert reason == REASON_BY_KIND[kind]
     failed = kind in (Kind.UNKNOWN, Kind.BAD_ANSWER, Kind.LOST)
     assert outcome == (Outcome.FAILED if failed else Outcome.REFUSED)
 
@@ -117,14 +117,14 @@
 
 def test_names_of_services_are_cut_and_bounded() -> None:
     outcomes = Outcomes()
-    for number in range(3 * MOST_SERVICES):
+    for number in range(3 * MAX_SERVICES):
         outcomes = outcomes.count(f"{number}{NAME}", Outcome.LATE, Reason.BOOT)
     names = {service for service, _, _ in outcomes.total}
-    assert len(names) <= MOST_SERVICES + 1
-    assert OTHER in names
-    assert max(len(name) for name in names) <= MOST_NAME_CHARS
-    assert sum(outcomes.total.values()) == 3 * MOST_SERVICES
-    assert outcomes.total[OTHER, "late", "waited_for_boot"] == 2 * MOST_SERVICES
+    assert len(names) <= MAX_SERVICES + 1
+    assert OTHER_SERVICES in names
+    assert max(len(name) for name in names) <= MAX_NAME_CHARS
+    assert sum(outcomes.total.values()) == 3 * MAX_SERVICES
+    assert outcomes.total[OTHER_SERVICES, "late", "waited_for_boot"] == 2 * MAX_SERVICES
 
 
 def test_a_batch_is_told_once_and_numbered() -> None:
@@ -133,8 +133,8 @@
     )
     outcomes, rows = outcomes.batch(Ms(5))
     assert rows == ((("s", "late", "waited_for_boot"), 2),)
-    assert (outcomes.told, outcomes.batch(Ms(6))[1]) == (1, ())
-    assert outcomes.batch(Ms(6))[0].told == 1
+    assert (outcomes.reported_batches, outcomes.batch(Ms(6))[1]) == (1, ())
+    assert outcomes.batch(Ms(6))[0].reported_batches == 1
 
 
 def test_the_member_that_places_sums_them_and_enters_them() -> None:
--- a/tests/test_own_names.py
+++ b/tests/test_own_names.py
@@ -19,9 +19,9 @@
 )
 from spokeroute.dispatch.placement.table import STARTING, UP, Floor, Placed, pack_floor
 from spokeroute.exchange import holder
-from spokeroute.exchange.connect import Connect, ConnectDone
+from spokeroute.exchange.connect import ConnectDone, ConnectJob
 from spokeroute.exchange.entry import HeldNow
-from spokeroute.exchange.held_instance import CONNECT_WAIT_MS
+from spokeroute.exchange.held_instance import CONNECT_TIMEOUT_MS
 from spokeroute.exchange.types import SendAttempt
 from spokeroute.register.replica.replica import Fresh
 from spokeroute.transport.call_messages import (
@@ -172,7 +172,7 @@
         assert effects == ()
     state, effects = holder.step(state, Tick(), Ms(now_ms + 20))
     (job,) = [e.job for e in effects if isinstance(e, Launch)]
-    assert job == Connect(booting.id, booting.address, CONNECT_WAIT_MS)
+    assert job == ConnectJob(booting.id, booting.address, CONNECT_TIMEOUT_MS)
     refused = ConnectDone(booting.id, booting.address, False, True)
     state, _ = holder.step(state, refused, Ms(now_ms + 21))
     state, effects = holder.step(state, Tick(), Ms(now_ms + 300))
--- a/tests/test_platform_edge.py
+++ b/tests/test_platform_edge.py
@@ -16,7 +16,7 @@
     PlatformDone,
     PlatformListed,
 )
-from spokeroute.exchange.connect import Connect, ConnectDone, Connector, connect
+from spokeroute.exchange.connect import ConnectDone, ConnectJob, Connector, connect
 from spokeroute.registry.platform_edge import HttpPlatform, PlatformEdge
 from tests.test_edge import Scripted
 
@@ -77,9 +77,9 @@
     server = socket.create_server(("127.0.0.1", 0))
     address = Address(f"127.0.0.1:{server.getsockname()[1]}")
     got: queue.Queue[ConnectDone] = queue.Queue()
-    Connector(got.put).launch(Connect(InstanceId("a"), address, 1_000))
+    Connector(got.put).launch(ConnectJob(InstanceId("a"), address, 1_000))
     assert got.get(timeout=10) == ConnectDone(InstanceId("a"), address, True)
     server.close()
-    assert connect(Connect(InstanceId("a"), address, 1_000)).refused
-    nowhere = Connect(InstanceId("a"), Address("no address"), 1_000)
+    assert connect(ConnectJob(InstanceId("a"), address, 1_000)).refused
+    nowhere = ConnectJob(InstanceId("a"), Address("no address"), 1_000)
     assert connect(nowhere) == ConnectDone(InstanceId("a"), nowhere.address, False)
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -14,7 +14,12 @@
 from spokeroute.exchange import calls, entry, holder, requeue
 from spokeroute.exchange.backlog import CROWD_CALLS, CROWD_MS, Backlog
 from spokeroute.exchange.budget import Budget
-from spokeroute.exchange.held_instance import QUEUED_TOLD_MS, Handed, HeldInstance, Waiting
+from spokeroute.exchange.held_instance import (
+    QUEUED_NOTICE_MS,
+    DispatchedAttempt,
+    HeldInstance,
+    QueuedCall,
+)
 from spokeroute.exchange.moves import TURNED_MS
 from spokeroute.exchange.reasons import BUSY, LEFT_QUEUE, NO_ROOM_IN_TIME
 from spokeroute.exchange.types import Call, Phase, Revoke, Tables
@@ -37,15 +42,15 @@
     return replace(Placed(*row), **changes)
 
 
-def waiting(name: str, left_ms: int = 5_000) -> Waiting:
+def waiting(name: str, left_ms: int = 5_000) -> QueuedCall:
     forward = Forward(name, "s", "i", 1, "GET", "/x", (), b"", left_ms, "")
-    return Waiting(forward, ENTRY, Ms(left_ms))
+    return QueuedCall(forward, ENTRY, Ms(left_ms))
 
 
-def held(*queue: Waiting, run_ms: float = 500.0) -> HeldInstance:
+def held(*queue: QueuedCall, run_ms: float = 500.0) -> HeldInstance:
     """An instance of one slot where a call runs."""
-    handed = Map({"runs": Handed("runs", ENTRY, Ms(0))})
-    return HeldInstance(placed("i"), queue=queue, handed=handed, run_ms=run_ms)
+    handed = Map({"runs": DispatchedAttempt("runs", ENTRY, Ms(0))})
+    return HeldInstance(placed("i"), queue=queue, in_flight=handed, run_ms=run_ms)
 
 
 def entry_with(call: Call, *instances: Placed, outstanding: Map[str, int] = ONE) -> entry.State:
@@ -63,9 +68,9 @@
     def without_room(left_ms: int, run_ms: float = 500.0) -> HeldInstance | None:
         last = waiting("c4", left_ms)
         queue = (*(waiting(f"c{n}") for n in range(4)), last)
-        return held(*queue, run_ms=run_ms).without_room_for(last.forward)
+        return held(*queue, run_ms=run_ms).without_unservable(last.forward)
 
-    assert held().turn_ms(4) == 2_250.0
+    assert held().estimated_wait_ms(4) == 2_250.0
     assert without_room(2_900) is None
     left = without_room(2_700)
     assert left is not None and [w.forward.attempt_id for w in left.queue] == [
@@ -80,11 +85,13 @@
 def test_an_entry_hears_once_that_a_call_waits_but_not_while_its_instance_starts() -> None:
     instance = held(waiting("c"))
     call = instance.queue[0]
-    assert not instance.tells(call, Ms(QUEUED_TOLD_MS - 1))
-    assert instance.tells(call, Ms(QUEUED_TOLD_MS))
-    assert not instance.tells(replace(call, told=True), Ms(QUEUED_TOLD_MS))
+    assert not instance.should_notify_entry(call, Ms(QUEUED_NOTICE_MS - 1))
+    assert instance.should_notify_entry(call, Ms(QUEUED_NOTICE_MS))
+    assert not instance.should_notify_entry(
+        replace(call, entry_notified=True), Ms(QUEUED_NOTICE_MS)
+    )
     starts = replace(instance, placed=placed("i", state=STARTING))
-    assert not starts.tells(call, Ms(QUEUED_TOLD_MS))
+    assert not starts.should_notify_entry(call, Ms(QUEUED_NOTICE_MS))
 
 
 def test_only_what_is_still_in_the_queue_is_given_back() -> None:
@@ -99,7 +106,7 @@
         state, From(ENTRY, Incarnation(1), ForwardDrop("queued", queued_only=True)), Ms(300)
     )
     assert effects == (Send(ENTRY, Forwarded("queued", "no", LEFT_QUEUE, 0, (), b"")),)
-    assert after.instances["i"].queue == () and "runs" in after.instances["i"].handed
+    assert after.instances["i"].queue == () and "runs" in after.instances["i"].in_flight
 
 
 def test_room_is_asked_for_only_where_it_may_be_and_not_at_every_tick() -> None:
--- a/tests/test_rank.py
+++ b/tests/test_rank.py
@@ -16,13 +16,13 @@
 from spokeroute.dispatch.placement.table import UP, Placed
 from spokeroute.exchange import holder
 from spokeroute.exchange.held_instance import (
+    OLDEST_FIRST_INTERVAL,
+    QUEUE_EXTRA,
     QUEUE_FACTOR,
-    QUEUE_PLUS,
-    TURNS_IN_ROUND,
-    Handed,
+    DispatchedAttempt,
     HeldInstance,
-    Waiting,
-    in_turn,
+    QueuedCall,
+    dispatch_order,
 )
 from spokeroute.exchange.rank import MOST_PRIORITY, rank_of
 from spokeroute.exchange.reasons import BUSY
@@ -42,15 +42,15 @@
     return Forward(name, "s", "i", 1, "GET", "/x", (), b"", wait_ms, "", rank=rank)
 
 
-def waiting(name: str, rank: int, since_ms: int) -> Waiting:
-    return Waiting(forward(name, rank), ENTRY, Ms(since_ms + LONG_MS), Ms(since_ms))
+def waiting(name: str, rank: int, since_ms: int) -> QueuedCall:
+    return QueuedCall(forward(name, rank), ENTRY, Ms(since_ms + LONG_MS), Ms(since_ms))
 
 
 def queue_of(*came: tuple[str, int, int]) -> list[str]:
     """The order of turns of calls that came so: name, rank, when."""
     instance = HeldInstance(PLACED)
     for name, rank, since_ms in came:
-        instance = instance.joined(waiting(name, rank, since_ms))
+        instance = instance.with_queued(waiting(name, rank, since_ms))
     return [each.forward.attempt_id for each in instance.queue]
 
 
@@ -78,18 +78,18 @@
     came: list[tuple[int, int]], turns: int
 ) -> None:
     queue = tuple(waiting(f"{at}", rank, ms) for at, (rank, ms) in enumerate(sorted(came)))
-    order = in_turn(queue, turns)
+    order = dispatch_order(queue, turns)
     assert sorted(order, key=str) == sorted(queue, key=str)
-    oldest = min(each.since_ms for each in queue)
+    oldest = min(each.queued_ms for each in queue)
     if len({each.forward.rank for each in queue}) > 1:
-        assert any(each.since_ms == oldest for each in order[:TURNS_IN_ROUND])
+        assert any(each.queued_ms == oldest for each in order[:OLDEST_FIRST_INTERVAL])
 
 
 def test_who_is_turned_away_by_a_full_queue_does_not_hang_on_ranks() -> None:
-    most = QUEUE_FACTOR * PLACED.limit + QUEUE_PLUS
+    most = QUEUE_FACTOR * PLACED.limit + QUEUE_EXTRA
     queue = tuple(waiting(f"c{at}", 5, 0) for at in range(most))
-    running = Map({"runs": Handed("runs", ENTRY, Ms(0))})
-    instance = HeldInstance(PLACED, queue=queue, handed=running)
+    running = Map({"runs": DispatchedAttempt("runs", ENTRY, Ms(0))})
+    instance = HeldInstance(PLACED, queue=queue, in_flight=running)
     tables = Tables(proved_ms=Ms(0), table=ANY_TABLE, rule_ms=LONG_MS, by_id=Map({"i": PLACED}))
     ready = holder.State(HOLDER, 1, tables, Map({"i": instance}))
     for rank in (0, 9):
--- a/tests/test_second_sends.py
+++ b/tests/test_second_sends.py
@@ -17,7 +17,7 @@
 from spokeroute.common.slab import Slots
 from spokeroute.exchange import calls, entry, holder, moves
 from spokeroute.exchange.resend import Allowed, allowed, noted
-from spokeroute.exchange.seen import REMEMBER_MS, Seen
+from spokeroute.exchange.seen import MIN_RETENTION_MS, Seen
 from spokeroute.exchange.types import Attempt, Call
 from tests.calls_made import call_to
 from tests.sends_model import Sends
@@ -59,13 +59,13 @@
 
 def any_holder_life(patch: pytest.MonkeyPatch) -> type[Sends]:
     """The holder takes what was meant for an earlier life."""
-    honest = holder._forward
+    honest = holder._on_forward
 
     def forward(state: holder.State, node: NodeId, message: Any, now_ms: Ms) -> Any:
         meant = replace(message, holder_incarnation=state.incarnation)
         return honest(state, node, meant, now_ms)
 
-    patch.setattr(holder, "_forward", forward)
+    patch.setattr(holder, "_on_forward", forward)
     return Sends
 
 
@@ -171,13 +171,13 @@
 
 
 def test_an_attempt_is_remembered_for_as_long_as_a_frame_may_be_late() -> None:
-    for began_ms in (0, REMEMBER_MS - 1, REMEMBER_MS, 2 * REMEMBER_MS + 7):
+    for began_ms in (0, MIN_RETENTION_MS - 1, MIN_RETENTION_MS, 2 * MIN_RETENTION_MS + 7):
         seen = Seen().add("a", Ms(0)).add("b", Ms(began_ms))
-        for later_ms in range(0, REMEMBER_MS, 977):
+        for later_ms in range(0, MIN_RETENTION_MS, 977):
             seen = seen.add(f"x{later_ms}", Ms(began_ms + later_ms))
             assert "b" in seen
-        assert "b" not in seen.add("y", Ms(began_ms + 9 * REMEMBER_MS)).add(
-            "z", Ms(began_ms + 11 * REMEMBER_MS)
+        assert "b" not in seen.add("y", Ms(began_ms + 9 * MIN_RETENTION_MS)).add(
+            "z", Ms(began_ms + 11 * MIN_RETENTION_MS)
         )
 
 
--- a/tests/test_sender_dialect.py
+++ b/tests/test_sender_dialect.py
@@ -16,7 +16,7 @@
 
 DIALECT = InstanceDialect(
     attempt_header="Attempt", wait_header="Left", identity_header="Meant", who_path="",
-    not_run_header="Not-Run", misdirected_status=421, promises=(408, 421, 429, 503),
+    not_run_header="Not-Run", misdirected_status=421, not_run_statuses=(408, 421, 429, 503),
     seal_header="Seal",
 )  # fmt: skip
 
--- a/tests/test_silence.py
+++ b/tests/test_silent_holders.py
@@ -10,13 +10,13 @@
 from spokeroute.exchange.budget import Budget
 from spokeroute.exchange.calls import step
 from spokeroute.exchange.entry import State, put
-from spokeroute.exchange.silence import (
-    AGAIN_MS,
-    ASK_MS,
-    LEAST_SILENT_MS,
-    MOST_SILENT_MS,
-    Silence,
-    look,
+from spokeroute.exchange.silent_holders import (
+    MAX_TIMEOUT_MS,
+    MIN_TIMEOUT_MS,
+    PING_AFTER_MS,
+    PING_INTERVAL_MS,
+    SilentHolders,
+    check_holders,
 )
 from tests.calls_made import call_to
 from tests.sim.cluster import Sim
@@ -62,55 +62,60 @@
     sim.close()
 
 
-def known(*took_ms: int) -> Silence:
+def known(*took_ms: int) -> SilentHolders:
     """What an entry knows of ex2 after questions that took so long, the last at 900 ms."""
-    silence = Silence()
+    silence = SilentHolders()
     for each in took_ms:
-        first = silence.first_asked_ms.set("ex2", 900 - each)
-        silence = replace(silence, first_asked_ms=first).heard("ex2", 900)
+        first = silence.first_ping_ms.set("ex2", 900 - each)
+        silence = replace(silence, first_ping_ms=first).with_message("ex2", 900)
     return silence
 
 
 @pytest.mark.parametrize(
     ("before", "silent_ms"),
-    [(Silence(), MOST_SILENT_MS), (known(5, 5, 5), LEAST_SILENT_MS)],
+    [(SilentHolders(), MAX_TIMEOUT_MS), (known(5, 5, 5), MIN_TIMEOUT_MS)],
     ids=["never heard", "heard over a short way"],
 )
-def test_a_holder_is_asked_before_it_counts_as_silent(before: Silence, silent_ms: int) -> None:
+def test_a_holder_is_asked_before_it_counts_as_silent(
+    before: SilentHolders, silent_ms: int
+) -> None:
     call = call_to("ex2", sent_ms=Ms(1_000), slot=SlotId(1, 1))
-    silence, ask, silent = look(before, (call,), "ex1", Ms(1_000 + ASK_MS - 1))
+    silence, ask, silent = check_holders(before, (call,), "ex1", Ms(1_000 + PING_AFTER_MS - 1))
     assert (ask, silent) == ((), ())
-    silence, ask, silent = look(silence, (call,), "ex1", Ms(1_000 + ASK_MS))
+    silence, ask, silent = check_holders(silence, (call,), "ex1", Ms(1_000 + PING_AFTER_MS))
     assert (ask, silent) == (("ex2",), ())
-    heard = silence.heard("ex2", 1_000 + ASK_MS + 3)
-    late_ms = Ms(1_000 + ASK_MS + silent_ms)
-    assert look(heard, (call,), "ex1", late_ms)[2] == ()
-    woken = silence.woken(late_ms)
-    assert look(woken, (call,), "ex1", late_ms)[2] == ()
-    assert look(silence, (call,), "ex1", Ms(late_ms - 1))[2] == ()
-    silence, ask, silent = look(silence, (call,), "ex1", late_ms)
+    heard = silence.with_message("ex2", 1_000 + PING_AFTER_MS + 3)
+    late_ms = Ms(1_000 + PING_AFTER_MS + silent_ms)
+    assert check_holders(heard, (call,), "ex1", late_ms)[2] == ()
+    woken = silence.with_timers_restarted(late_ms)
+    assert check_holders(woken, (call,), "ex1", late_ms)[2] == ()
+    assert check_holders(silence, (call,), "ex1", Ms(late_ms - 1))[2] == ()
+    silence, ask, silent = check_holders(silence, (call,), "ex1", late_ms)
     assert silent == ("ex2",)
-    silence, ask, silent = look(silence, (), "ex1", Ms(late_ms + AGAIN_MS))
+    silence, ask, silent = check_holders(silence, (), "ex1", Ms(late_ms + PING_INTERVAL_MS))
     assert (ask, silent) == (("ex2",), ())
-    assert not silence.heard("ex2", late_ms + 500).since_ms
-    assert look(Silence(), (call_to("ex1", Ms(0), SlotId(1, 1)),), "ex1", Ms(9_000))[1] == ()
+    assert not silence.with_message("ex2", late_ms + 500).silent_since_ms
+    assert (
+        check_holders(SilentHolders(), (call_to("ex1", Ms(0), SlotId(1, 1)),), "ex1", Ms(9_000))[1]
+        == ()
+    )
 
 
 def test_a_holder_that_answers_slowly_is_waited_for_as_long_as_it_was_seen_to_take() -> None:
     """TCP's timer: mean and four mean deviations, within the bounds; fast again once it is fast."""
     slow = known(*[150, 350] * 6)
-    assert 400 < slow.timeout_ms("ex2") < MOST_SILENT_MS
-    assert known(*[150, 350] * 6, *[5] * 30).timeout_ms("ex2") == LEAST_SILENT_MS
-    assert known(700, 900, 900).timeout_ms("ex2") == MOST_SILENT_MS
+    assert 400 < slow.timeout_ms("ex2") < MAX_TIMEOUT_MS
+    assert known(*[150, 350] * 6, *[5] * 30).timeout_ms("ex2") == MIN_TIMEOUT_MS
+    assert known(700, 900, 900).timeout_ms("ex2") == MAX_TIMEOUT_MS
 
 
 def test_an_outage_says_nothing_of_the_way() -> None:
-    assert known(5, 5, 5, MOST_SILENT_MS + 1).timeout_ms("ex2") == LEAST_SILENT_MS
+    assert known(5, 5, 5, MAX_TIMEOUT_MS + 1).timeout_ms("ex2") == MIN_TIMEOUT_MS
 
 
 def test_one_that_was_never_measured_is_judged_by_the_others() -> None:
-    silence = known(*[150, 350] * 6).heard("ex3", 950)
-    assert silence.timeout_ms("ex3") > LEAST_SILENT_MS
+    silence = known(*[150, 350] * 6).with_message("ex3", 950)
+    assert silence.timeout_ms("ex3") > MIN_TIMEOUT_MS
 
 
 def test_time_in_which_this_process_was_busy_counts_against_nobody() -> None:
@@ -119,9 +124,9 @@
         put(State(NodeId("ex1"), 1, Budget(Ms(0), 0.2, 9.0, 3, 10_000)), call),
         silence=known(5, 5, 5),
     )
-    state, _ = step(state, Tick(20), Ms(1_000 + ASK_MS))
-    late_ms = 1_000 + ASK_MS + LEAST_SILENT_MS
+    state, _ = step(state, Tick(20), Ms(1_000 + PING_AFTER_MS))
+    late_ms = 1_000 + PING_AFTER_MS + MIN_TIMEOUT_MS
     busy, _ = step(state, Tick(200), Ms(late_ms))
-    assert not busy.silence.since_ms
+    assert not busy.silence.silent_since_ms
     idle, _ = step(state, Tick(20), Ms(late_ms))
-    assert "ex2" in idle.silence.since_ms
+    assert "ex2" in idle.silence.silent_since_ms
