--- a/spokeroute/exchange/connect.py
+++ b/spokeroute/exchange/connect.py
@@ -1,4 +1,4 @@
-"""The edge that looks whether a starting instance can be reached: a plain connect, no call."""
+"""Checks whether a starting instance accepts connections: a plain TCP connect, no call."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectJob:
-    """A job: connect to an instance's address, and close again."""
+    """A job: connect to an instance's address, then close."""
 
     instance: InstanceId
     address: Address
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectDone:
-    """What came of it: reached, refused (nothing listens there), or neither in time."""
+    """The result: reached, refused (nothing listens there), or neither within the timeout."""
 
     instance: InstanceId
     address: Address
@@ -33,7 +33,7 @@
 
 
 def connect(job: ConnectJob) -> ConnectDone:
-    """Connect once; blocks for no longer than the job says.
+    """Connect once; blocks for at most the job's timeout.
 
     Example:
         connect(ConnectJob(InstanceId("a"), Address("127.0.0.1:1"), 100)).reached is False
@@ -48,7 +48,7 @@
 
 
 class Connector:
-    """Carries out Connect jobs on a few threads; reports ConnectDone.
+    """Carries out ConnectJob jobs on a few threads; reports ConnectDone.
 
     Example:
         Connector(report).launch(job)
@@ -59,7 +59,7 @@
         self.threads = ThreadPoolExecutor(MAX_THREADS, thread_name_prefix="connect")
 
     def launch(self, job: ConnectJob) -> None:
-        """Begin one.
+        """Start a job.
 
         Example:
             Connector(report).launch(job)
--- a/spokeroute/exchange/held_instance.py
+++ b/spokeroute/exchange/held_instance.py
@@ -1,4 +1,4 @@
-"""What a holder keeps of one instance: its queue, what it was handed, and how it does."""
+"""A holder's state of one instance: its queue, its attempts in flight and its health."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 from spokeroute.transport.messages import HeldReport
 
 CONNECT_TIMEOUT_MS = 250
-RUN_SMOOTHING = 0.2
-SAMPLE_MS = 1_000
-QUEUE_FACTOR = 4
+RUN_SMOOTHING = 0.2  # weight of a new sample in the moving average of run times
+SAMPLE_MS = 1_000  # length of a load sample
+QUEUE_FACTOR = 4  # a queue holds at most QUEUE_FACTOR * limit + QUEUE_EXTRA calls
 QUEUE_EXTRA = 8
 WARM_UP_FACTOR = 1.5
 WARM_UP_EXTRA_PER_S = 5.0
 RATE_WINDOW_MS = 2_000
-OLDEST_FIRST_INTERVAL = 4  # of which one is of who has waited the longest
-QUEUED_NOTICE_MS = 40  # a call that waits for this long is told to its entry
-WARM_UP_WINDOW_MS = 1_050  # a second, and what sends may crowd together on their way
+OLDEST_FIRST_INTERVAL = 4  # every fourth dispatch goes to the oldest call, whatever its priority
+QUEUED_NOTICE_MS = 40  # the entry is notified of a call that has been queued for this long
+WARM_UP_WINDOW_MS = 1_050  # one second, plus 50 ms because sends may bunch up on their way
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,12 +37,12 @@
     origin: NodeId
     deadline_ms: Ms
     queued_ms: Ms = Ms(0)
-    entry_notified: bool = False  # its entry knows that it waits
+    entry_notified: bool = False  # its entry was told that it is queued
 
 
 @dataclass(frozen=True, slots=True)
 class DispatchedAttempt:
-    """An attempt that was launched, and until when its place is kept if no answer comes."""
+    """A launched attempt, and when its slot is released if no answer arrives."""
 
     attempt_id: str
     origin: NodeId
@@ -51,9 +51,9 @@
     release_at_ms: Ms = Ms(-1)
 
 
-def dispatch_order(queue: tuple[QueuedCall, ...], turns: int) -> tuple[QueuedCall, ...]:
-    """Calls that wait, in the order in which they get their turns after so many: of four turns
-    one is of who has waited the longest, the others of the most urgent, first come first.
+def dispatch_order(queue: tuple[QueuedCall, ...], dispatch_count: int) -> tuple[QueuedCall, ...]:
+    """Queued calls in their dispatch order, after ``dispatch_count`` earlier dispatches. One
+    dispatch in four takes the oldest call; the others take the most urgent, first in first out.
 
     Example:
         dispatch_order((), 0) == ()
@@ -65,7 +65,7 @@
     by_rank = sorted(by_age, key=lambda each: each.forward.rank)
     order: list[QueuedCall] = []
     while by_age:
-        oldest = (turns + len(order)) % OLDEST_FIRST_INTERVAL == 0
+        oldest = (dispatch_count + len(order)) % OLDEST_FIRST_INTERVAL == 0
         chosen = by_age[0] if oldest else by_rank[0]
         by_age.remove(chosen)
         by_rank.remove(chosen)
@@ -80,30 +80,30 @@
     placed: Placed
     queue: tuple[QueuedCall, ...] = ()
     in_flight: Map[str, DispatchedAttempt] = field(default_factory=Map)
-    cold_sends_ms: tuple[Ms, ...] = ()  # sends while cold, within the last second
-    recent_answers_ms: tuple[Ms, ...] = ()  # whole answers, within the rate's window
-    busy_ms: float = 0.0  # in flight times time, in this sample
+    cold_sends_ms: tuple[Ms, ...] = ()  # dispatches while cold, within WARM_UP_WINDOW_MS
+    recent_answers_ms: tuple[Ms, ...] = ()  # complete answers, within RATE_WINDOW_MS
+    busy_ms: float = 0.0  # attempts in flight, integrated over this sample
     sampled_ms: Ms = Ms(0)
     sample_start_ms: Ms = Ms(0)
     mean_milli: int = 0
     answered: int = 0
     failures: int = 0
     confirmed: bool = False
-    backoff_ms: int = 0  # how long it is left alone after it could not be reached
+    backoff_ms: int = 0  # how long no call is sent after a failed connect
     backoff_until_ms: Ms = Ms(-1)
-    held_since_ms: Ms = Ms(0)  # since when this process holds it
-    reached: bool = False  # a connect succeeded while it started
+    held_since_ms: Ms = Ms(0)
+    reached: bool = False  # a connect succeeded while it was starting
     connecting: bool = False
-    next_connect_ms: Ms = Ms(0)  # the next connect
-    refused: bool = False  # nothing listens there any more
-    run_ms: float = 0.0  # how long a call usually takes there
-    reported_status: str = ""  # the last word that the core was told of it
-    unheld: bool = False  # nobody living holds it: one call at a time, until somebody does
-    dispatch_count: int = 0  # how many calls it was handed
+    next_connect_ms: Ms = Ms(0)
+    refused: bool = False  # the connection was refused: nothing listens there any more
+    run_ms: float = 0.0  # moving average of the run time of a call
+    reported_status: str = ""  # the last status that the registries were sent
+    unheld: bool = False  # it has no live holder: one call at a time until it has one
+    dispatch_count: int = 0
 
     @property
     def booting(self) -> bool:
-        """Whether nothing may be sent yet: it starts, and was never reached.
+        """Whether it is starting and was never reached, so that nothing may be sent yet.
 
         Example:
             HeldInstance(placed).booting is False
@@ -112,7 +112,7 @@
 
     @property
     def drained(self) -> bool:
-        """Whether it drains, and nothing runs there: nothing will be sent any more.
+        """Whether it is draining with nothing in flight or queued: nothing more will be sent.
 
         Example:
             HeldInstance(placed).drained is False
@@ -121,7 +121,7 @@
 
     @property
     def status_to_report(self) -> str:
-        """What the core should hear of it at once; empty for nothing.
+        """The status that the registries should learn at once; empty for none.
 
         Example:
             HeldInstance(placed).status_to_report == ""
@@ -133,7 +133,7 @@
         return "reached" if self.reached and self.placed.state == STARTING else ""
 
     def with_sample(self, now_ms: Ms) -> HeldInstance:
-        """With what was in flight since it was last asked.
+        """With the load since the last call added to the current sample.
 
         Example:
             HeldInstance(placed).with_sample(Ms(20)).busy_ms == 0.0
@@ -143,7 +143,7 @@
         return replace(self, busy_ms=busy_ms, sampled_ms=now_ms)
 
     def with_new_sample(self, now_ms: Ms) -> HeldInstance:
-        """With a new sample begun, and the mean of the last one, where that is long enough.
+        """With the mean of the current sample and a new one begun, if the current is long enough.
 
         Example:
             HeldInstance(placed).with_new_sample(Ms(1_000)).mean_milli == 0
@@ -163,7 +163,7 @@
         )
 
     def report(self, mean_milli: int) -> HeldReport:
-        """What the core hears of it, with this mean of the last whole sample.
+        """The report for the registries, with this mean of the last complete sample.
 
         Example:
             HeldInstance(placed).report(0).confirmed is False
@@ -174,7 +174,7 @@
         )  # fmt: skip
 
     def smoothed_run_ms(self, took_ms: int) -> float:
-        """How long a call usually takes here, after one that took this long.
+        """The moving average of run times, after a run that took this long.
 
         Example:
             HeldInstance(placed).smoothed_run_ms(40) == 40.0
@@ -184,25 +184,25 @@
         return self.run_ms + RUN_SMOOTHING * (took_ms - self.run_ms)
 
     def estimated_wait_ms(self, position: int) -> float:
-        """In how long the call at this position of the queue gets its turn, by how long calls
-        usually take here; half of each run that is under way has passed. 0 before any ended.
+        """The expected time until the call at this queue position is dispatched, by the average
+        run time; runs in flight count as half done. 0 before any run has ended.
 
         Example:
             HeldInstance(placed).estimated_wait_ms(3) == 0.0
         """
         return self.run_ms * (position + len(self.in_flight) / 2) / max(1, self.placed.limit)
 
-    def with_queued(self, waiting: QueuedCall) -> HeldInstance:
-        """With one call more in the queue, which stands in the order of turns.
+    def with_queued(self, queued: QueuedCall) -> HeldInstance:
+        """With one more call in the queue, which is kept in dispatch order.
 
         Example:
-            HeldInstance(placed).with_queued(waiting).queue == (waiting,)
+            HeldInstance(placed).with_queued(queued).queue == (queued,)
         """
-        return replace(self, queue=dispatch_order((*self.queue, waiting), self.dispatch_count))
+        return replace(self, queue=dispatch_order((*self.queue, queued), self.dispatch_count))
 
     def without_unservable(self, forward: Forward) -> HeldInstance | None:
-        """Without a call that just came, as it may not stay in the queue: that is over its bound,
-        or the call's turn would come too late in its wait. None where it may, or is handed on.
+        """Without a call that just arrived, if the queue is over its bound or the call would be
+        dispatched too late in its wait. None if the call may stay or is dispatched already.
 
         Example:
             HeldInstance(placed).without_unservable(forward) is None
@@ -217,50 +217,55 @@
         return replace(self, queue=(*self.queue[:position], *self.queue[position + 1 :]))
 
     def _warm_up_allows(self, now_ms: Ms) -> bool:
-        """Whether a cold instance may get one more: in any second one and a half times its own
-        rate, plus five."""
+        """Whether a cold instance may get one more call: in any second it gets at most 1.5 times
+        its own answer rate, plus five."""
         answered = sum(1 for at_ms in self.recent_answers_ms if now_ms - at_ms < RATE_WINDOW_MS)
         rate = answered * 1000.0 / RATE_WINDOW_MS
         sent = sum(1 for at_ms in self.cold_sends_ms if now_ms - at_ms < WARM_UP_WINDOW_MS)
         return sent + 1 <= WARM_UP_FACTOR * rate + WARM_UP_EXTRA_PER_S
 
     def has_capacity(self, now_ms: Ms) -> bool:
-        """Whether a call may be handed to it now, by its limit and its warm-up rate.
+        """Whether its limit and its warm-up rate allow one more call now.
 
         Example:
-            HeldInstance(placed).room(Ms(20))
+            HeldInstance(placed).has_capacity(Ms(20))
         """
         if self.booting or len(self.in_flight) >= self.placed.limit:
             return False
         return self.placed.warm or self._warm_up_allows(now_ms)
 
-    def with_dispatched(self, waiting: QueuedCall, now_ms: Ms) -> HeldInstance:
-        """With a call handed to the instance.
+    def with_dispatched(self, queued: QueuedCall, now_ms: Ms) -> HeldInstance:
+        """With a call dispatched to the instance.
 
         Example:
-            HeldInstance(placed).with_dispatched(waiting, Ms(20)).in_flight
+            HeldInstance(placed).with_dispatched(queued, Ms(20)).in_flight
         """
-        attempt_id = waiting.forward.attempt_id
-        handed = DispatchedAttempt(attempt_id, waiting.origin, now_ms)
-        kept = [at_ms for at_ms in self.cold_sends_ms if now_ms - at_ms < WARM_UP_WINDOW_MS]
-        cold_ms = () if self.placed.warm else (*kept, now_ms)
+        attempt_id = queued.forward.attempt_id
+        attempt = DispatchedAttempt(attempt_id, queued.origin, now_ms)
+        recent = [at_ms for at_ms in self.cold_sends_ms if now_ms - at_ms < WARM_UP_WINDOW_MS]
+        cold_sends_ms = () if self.placed.warm else (*recent, now_ms)
         instance = self.with_sample(now_ms)
-        turns = instance.dispatch_count + 1
-        more = instance.in_flight.set(attempt_id, handed)
-        return replace(instance, in_flight=more, cold_sends_ms=cold_ms, dispatch_count=turns)
+        dispatch_count = instance.dispatch_count + 1
+        in_flight = instance.in_flight.set(attempt_id, attempt)
+        return replace(
+            instance,
+            in_flight=in_flight,
+            cold_sends_ms=cold_sends_ms,
+            dispatch_count=dispatch_count,
+        )
 
     def with_ended(
-        self, done: AttemptDone, handed: DispatchedAttempt, run_ms: int, now_ms: Ms
+        self, done: AttemptDone, attempt: DispatchedAttempt, longest_run_ms: int, now_ms: Ms
     ) -> HeldInstance:
-        """After an attempt's end. One that may still run keeps its place until it can't.
+        """After the end of an attempt. One that may still be running keeps its slot until it can't.
 
         Example:
             HeldInstance(placed).with_ended(done, dispatched, 1_000, Ms(20)).in_flight
         """
         if done.ran == Ran.MAYBE:
-            free_at_ms = Ms(max(now_ms, handed.sent_ms + run_ms))
-            kept = replace(handed, reported=True, release_at_ms=free_at_ms)
-            instance = replace(self, in_flight=self.in_flight.set(done.attempt_id, kept))
+            release_at_ms = Ms(max(now_ms, attempt.sent_ms + longest_run_ms))
+            pending = replace(attempt, reported=True, release_at_ms=release_at_ms)
+            instance = replace(self, in_flight=self.in_flight.set(done.attempt_id, pending))
         else:
             instance = replace(self, in_flight=self.in_flight.delete(done.attempt_id))
         if done.ran == Ran.YES:
@@ -268,43 +273,43 @@
                 instance, answered=instance.answered + 1,
                 recent_answers_ms=(*instance.recent_answers_ms, now_ms)[-200:], confirmed=True,
                 backoff_ms=0,
-                run_ms=instance.smoothed_run_ms(now_ms - handed.sent_ms),
+                run_ms=instance.smoothed_run_ms(now_ms - attempt.sent_ms),
             )  # fmt: skip
         if caused_by(done.reason, Cause.UNREACHED, Cause.BAD_ANSWER, Cause.LOST):
             return replace(instance, failures=instance.failures + 1, confirmed=done.confirmed)
         return instance
 
     def with_expired_removed(self, now_ms: Ms) -> HeldInstance:
-        """Without the attempts that can't run any more, whose places were kept till now.
+        """Without the unanswered attempts that can no longer be running.
 
         Example:
             HeldInstance(placed).with_expired_removed(Ms(20)).in_flight
         """
-        over = [
+        expired = [
             each
             for each in self.in_flight.values()
             if each.reported and now_ms >= each.release_at_ms
         ]
-        if not over:
+        if not expired:
             return self
-        left = self.in_flight
-        for each in over:
-            left = left.delete(each.attempt_id)
-        return replace(self.with_sample(now_ms), in_flight=left)
+        in_flight = self.in_flight
+        for each in expired:
+            in_flight = in_flight.delete(each.attempt_id)
+        return replace(self.with_sample(now_ms), in_flight=in_flight)
 
-    def should_notify_entry(self, waiting: QueuedCall, now_ms: Ms) -> bool:
-        """Whether a queued call's entry should hear now that it waits. What waits for a start
-        waits for it: the entry chose so.
+    def should_notify_entry(self, queued: QueuedCall, now_ms: Ms) -> bool:
+        """Whether the entry should be told now that its call is queued. It is not told of a call
+        that waits for the instance to start, because the entry chose that itself.
 
         Example:
-            HeldInstance(placed).should_notify_entry(waiting, Ms(40))
+            HeldInstance(placed).should_notify_entry(queued, Ms(40))
         """
-        if self.booting or waiting.entry_notified:
+        if self.booting or queued.entry_notified:
             return False
-        return now_ms - waiting.queued_ms >= QUEUED_NOTICE_MS
+        return now_ms - queued.queued_ms >= QUEUED_NOTICE_MS
 
     def backoff_reason(self, now_ms: Ms) -> str:
-        """Why nothing is sent after it could not be reached; empty where it may be.
+        """Why nothing is sent during the back-off after a failed connect; empty outside of it.
 
         Example:
             HeldInstance(placed).backoff_reason(Ms(20)) == ""
@@ -314,7 +319,7 @@
         return Cause.DOWN.with_detail("it could not be reached lately")
 
     def connect_due(self, now_ms: Ms) -> bool:
-        """Whether it should be looked now whether it is up: it starts, and no look is under way.
+        """Whether a connect to the starting instance is due and none is under way.
 
         Example:
             HeldInstance(placed).connect_due(Ms(20)) is False
@@ -324,7 +329,7 @@
         return now_ms >= self.next_connect_ms
 
     def connect_job(self) -> ConnectJob:
-        """The job that looks whether anything listens at its address.
+        """The job that checks whether anything listens at its address.
 
         Example:
             HeldInstance(placed).connect_job().address == placed.address
--- a/spokeroute/exchange/lost_holders.py
+++ b/spokeroute/exchange/lost_holders.py
@@ -1,7 +1,7 @@
-"""Holders that are gone: what becomes of the attempts that they had.
+"""Fails the attempts of lost holders.
 
-Their instances have another holder, or none; their link broke; or they say nothing
-(``silence.py``). A repeatable call goes on, any other waits for its answer.
+A holder is lost if its instances have another holder or none, if its link broke, or if it is
+silent (``silent_holders.py``). A repeatable call is retried; any other waits for its answer.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 
 
 def fail_moved_attempts(state: State, now_ms: Ms) -> tuple[State, Effects]:
-    """An attempt whose instance has another holder, or none, gets no answer from the old one if
-    that one is silent; one that lives hands on what it was given, and answers.
+    """Fail attempts whose instance has another holder, or none, if the old holder is silent. An
+    old holder that is alive still dispatches the calls that it has, and answers.
 
     Example:
         state, effects = fail_moved_attempts(state, now_ms)
@@ -44,7 +44,7 @@
 
 
 def on_link_down(state: State, broken: LinkDown, now_ms: Ms) -> tuple[State, Effects]:
-    """What was handed over a broken connection may run; what still waited on it was not sent.
+    """A link broke: attempts that were sent over it may run; those not sent yet did not.
 
     Example:
         state, effects = on_link_down(state, LinkDown("ex2"), now_ms)
@@ -66,7 +66,7 @@
 
 
 def ping_silent_holders(state: State, now_ms: Ms) -> tuple[State, Effects]:
-    """Ask holders that say nothing; leave silent ones alone, and repeat what may be repeated.
+    """Ping holders without a recent message; fail the repeatable attempts of silent ones.
 
     Example:
         state, effects = ping_silent_holders(state, now_ms)
@@ -74,9 +74,9 @@
     calls = tuple(call for call in state.calls.values() if call.attempts)
     if not calls and not state.silence.last_ping_ms:
         return state, ()
-    silence, ask, silent = check_holders(state.silence, calls, state.me, now_ms)
+    silence, ping, silent = check_holders(state.silence, calls, state.me, now_ms)
     state = replace(state, silence=silence)
-    effects: list[Effect] = [Send(node, Ping()) for node in ask]
+    effects: list[Effect] = [Send(node, Ping()) for node in ping]
     effects.extend(Unreached(node) for node in silent)
     for call in calls:
         for attempt_id, each in call.attempts.items():
--- a/spokeroute/exchange/metrics_snapshot.py
+++ b/spokeroute/exchange/metrics_snapshot.py
@@ -1,4 +1,4 @@
-"""What an exchange tells as metrics: a snapshot of its cores' counts."""
+"""The metrics of an exchange: a snapshot of the counts in its actors' state."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def exchange_metrics(process: Process) -> Figures:
-    """The figures of an exchange, from the loop's thread.
+    """Take the snapshot; to be called on the loop's thread.
 
     Example:
         text_of(exchange_metrics(process))
--- a/spokeroute/exchange/outcomes.py
+++ b/spokeroute/exchange/outcomes.py
@@ -1,7 +1,7 @@
-"""Why calls end late, refused or failed: one reason each, counted where the call ends.
+"""Counts calls that end late, refused or failed, each under one reason, where the call ends.
 
-Only such calls are counted, so that a call that is well pays nothing for it. The counts go to the
-ledger and the log once a second, and to whoever reads the metrics (``spokeroute/metrics.py``).
+Only these calls are counted, so that successful calls pay nothing for it. The counts go to the
+ledger and the log once a second, and to the metrics endpoint (``spokeroute/metrics.py``).
 """
 
 from __future__ import annotations
@@ -17,43 +17,43 @@
 from spokeroute.exchange.pick import STARTING_RULE
 from spokeroute.exchange.types import Attempt, Call
 
-MAX_SERVICES = 64  # that are counted by name
+MAX_SERVICES = 64  # counted by name
 MAX_NAME_CHARS = 64
-OTHER_SERVICES = "other"  # all services past the bound, together
+OTHER_SERVICES = "other"  # all services past MAX_SERVICES
 NO_SERVICE = ""  # a call that matched no route
 
 
 class Outcome(StrEnum):
-    """How a call ended that did not end well."""
+    """How an unsuccessful call ended."""
 
-    LATE = "late"
+    LATE = "late"  # answered after the latency aim of its route
     REFUSED = "refused"  # it did not run
     FAILED = "failed"  # it may have run
 
 
 class Reason(StrEnum):
-    """Why. Names are part of the interface: ledgers, logs and metrics have them."""
+    """Why a call was unsuccessful. The values appear in ledgers, logs and metrics."""
 
     BOOT = "waited_for_boot"
-    PLACEMENT = "waited_for_placement"  # no instance was placed for it for most of its time
+    PLACEMENT = "waited_for_placement"  # for most of its time no instance was placed for it
     QUEUE = "queued_at_holder"
     RETRY = "retried_after_loss"
     CLAIM = "waited_for_claim"
-    ENTRY_BUSY = "read_late"  # it waited at this node before it was taken in
+    ENTRY_BUSY = "read_late"  # it waited at this node before it was read
     FAR = "far_instance"
     SLOW_RUN = "slow_run"
     NO_PROOF = "no_proof"
     NO_ROOM = "no_room"  # no instance had room for it in time
-    LONG_QUEUE = "queue_too_long"  # refused at once: its turn would have come too late
+    LONG_QUEUE = "queue_too_long"  # refused at once: it would have been dispatched too late
     ENTRY_FULL = "entry_full"
     TOO_FAST = "client_too_fast"
     STOPPING = "stopping"
     UNREACHED = "instance_unreached"
     NO_CORE = "no_core"
     BAD_REQUEST = "bad_request"
-    NO_KEY = "no_key"  # it needs the key of a tenant, and showed none that is in force
+    NO_KEY = "no_key"  # its route needs a tenant key, and it has no valid one
     NO_ROUTE = "no_route"
-    OLD_NO_ROUTE = "no_route_by_old_proof"  # the table that lacks it was proved long ago
+    OLD_NO_ROUTE = "no_route_by_old_proof"  # the table without it was last proved current long ago
     HOLDER_SILENT = "holder_silent"
     HOLDER_LOST = "holder_lost"
     INSTANCE_LOST = "instance_lost"
@@ -96,50 +96,50 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcomes:
-    """Counts by service, outcome and reason: since this process began, and since they were told."""
+    """Counts by service, outcome and reason: since process start and since the last report."""
 
     total: Map[OutcomeKey, int] = field(default_factory=Map)
     unreported: Map[OutcomeKey, int] = field(default_factory=Map)
-    named_services: frozenset[str] = frozenset()  # that are counted by name
-    reported_batches: int = 0  # batches so far
+    named_services: frozenset[str] = frozenset()  # services counted by name
+    reported_batches: int = 0
     reported_ms: Ms = Ms(-(10**9))
 
     def count(self, service: str, outcome: Outcome, reason: Reason) -> Outcomes:
-        """One more call.
+        """Count one call.
 
         Example:
             >>> list(Outcomes().count("s", Outcome.LATE, Reason.BOOT).total)
             [('s', 'late', 'waited_for_boot')]
         """
         name = service[:MAX_NAME_CHARS]
-        services = self.named_services
-        if name not in services:
-            if len(services) >= MAX_SERVICES:
+        named = self.named_services
+        if name not in named:
+            if len(named) >= MAX_SERVICES:
                 name = OTHER_SERVICES
-            services = services | {name}
+            named = named | {name}
         key = (name, outcome.value, reason.value)
         return replace(
             self,
             total=self.total.set(key, self.total.get(key, 0) + 1),
             unreported=self.unreported.set(key, self.unreported.get(key, 0) + 1),
-            named_services=services,
+            named_services=named,
         )
 
     def batch(self, now_ms: Ms) -> tuple[Outcomes, tuple[tuple[OutcomeKey, int], ...]]:
-        """What was counted since this was asked last, in order.
+        """Take the counts since the last batch, sorted.
 
         Example:
             >>> Outcomes().batch(Ms(5))[1]
             ()
         """
         rows = tuple(sorted(self.unreported.items()))
-        told = self.reported_batches + 1 if rows else self.reported_batches
-        return replace(self, unreported=Map(), reported_batches=told, reported_ms=now_ms), rows
+        batches = self.reported_batches + 1 if rows else self.reported_batches
+        return replace(self, unreported=Map(), reported_batches=batches, reported_ms=now_ms), rows
 
 
 def late_reason(call: Call, by: Attempt, far: bool, now_ms: Ms) -> Reason:
-    """Why a call that an instance answered was late: what it waited for before the attempt that
-    was answered, else what that attempt waited for, else the run itself.
+    """Why a call was answered late: what it waited for before the successful attempt, else what
+    that attempt waited for, else the run itself.
 
     Example:
         late_reason(call, attempt, far=False, now_ms=Ms(900)) == Reason.BOOT
@@ -159,7 +159,7 @@
 
 
 def refusal_reason(answer: Answer, why: str = "") -> tuple[Outcome, Reason]:
-    """Why an answer of this system's own, no instance's, was given.
+    """The outcome and reason of an answer that this system gave itself, without an instance.
 
     Example:
         >>> refusal_reason(Answer(502, (), b"", Kind.LOST), "lost: its holder is silent")[1].value
@@ -175,7 +175,7 @@
 
 
 def is_late(call: Call, now_ms: Ms) -> bool:
-    """Whether a call that ends now is answered past its route's aim; never where it has none.
+    """Whether a call that ends now exceeds the latency aim of its route, if that has one.
 
     Example:
         is_late(call, Ms(900))
--- a/spokeroute/exchange/reasons.py
+++ b/spokeroute/exchange/reasons.py
@@ -1,7 +1,7 @@
-"""Why an attempt ended without an answer, as holders and senders say it to entries.
+"""The reasons that holders and senders give entries for an attempt without an answer.
 
-The texts travel between exchanges, and an entry decides by them: by the whole text, or by the
-cause that it begins with. Another life of the program may say them, so they stay as they are.
+The texts travel between exchanges, and entries act on them: on the whole text, or on the cause
+that it starts with. Processes of another version may send them, so they must not change.
 """
 
 from __future__ import annotations
@@ -9,28 +9,28 @@
 from enum import StrEnum
 
 NOT_HELD = "not held here"
-DRAINS = "draining"  # its instance takes no calls any more, and is stopped
-BUSY = "busy"  # a queue is as long as it may be
+DRAINS = "draining"  # the instance accepts no more calls and is about to be stopped
+BUSY = "busy"  # the queue is full
 LEFT_QUEUE = "left the queue"
 NO_ROOM_IN_TIME = "no room in time"
 
 
 class Cause(StrEnum):
-    """What a reason begins with.
+    """The first part of a reason.
 
     Example:
         >>> Cause.LOST.with_detail("its link broke")
         'lost: its link broke'
     """
 
-    REFUSED = "refused"  # the instance turned it away, and did not run it
+    REFUSED = "refused"  # the instance rejected the call without running it
     UNREACHED = "unreached"  # no connection to the instance
-    DOWN = "down"  # nothing was tried: the instance or its holder is known to be out of reach
-    LOST = "lost"  # it was sent, and no answer comes any more
-    BAD_ANSWER = "bad answer"  # it was sent, and the answer is not whole
+    DOWN = "down"  # not tried: the instance or its holder is known to be unreachable
+    LOST = "lost"  # it was sent, and no answer will arrive
+    BAD_ANSWER = "bad answer"  # it was sent, and the answer is incomplete or malformed
 
     def with_detail(self, detail: str) -> str:
-        """The reason with its detail.
+        """The reason text with a detail.
 
         Example:
             >>> Cause.DOWN.with_detail("it could not be reached lately")
@@ -40,7 +40,7 @@
 
 
 def caused_by(reason: str, *causes: Cause) -> bool:
-    """Whether a reason begins with one of these causes.
+    """Whether a reason has one of these causes.
 
     Example:
         >>> caused_by("lost: its link broke", Cause.LOST, Cause.UNREACHED)
--- a/spokeroute/exchange/requests.py
+++ b/spokeroute/exchange/requests.py
@@ -1,4 +1,4 @@
-"""What a caller's request tells: pure readings of what waitress parsed."""
+"""Reads a call from a caller's request, as waitress parsed it. Pure functions."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def bad_request(status: int) -> Answer:
-    """The answer to what could not be read, or is over a bound; it did not run.
+    """The answer to a request that is malformed or over a limit; the call did not run.
 
     Example:
         >>> bad_request(431).status
@@ -34,7 +34,7 @@
 
 
 def header_key(header: str) -> str:
-    """How waitress names a header; no header where the name is empty.
+    """The key under which waitress stores a header; empty for an empty name.
 
     Example:
         >>> header_key("Idempotency-Key")
@@ -44,7 +44,7 @@
 
 
 def decode_path(path: str) -> str:
-    """A path to match routes by. What is no UTF-8 in it matches no route's own part.
+    """The path for route matching. Bytes that are not UTF-8 match no literal part of a route.
 
     Example:
         >>> decode_path("//a/\\xc3\\xa4")
@@ -55,7 +55,7 @@
 
 
 def parse_wait_ms(raw: str, default_ms: int) -> int:
-    """How long a caller waits, as far as it says so.
+    """The wait that a caller's header gives, or the default where it gives none.
 
     Example:
         >>> parse_wait_ms("700", 4_000), parse_wait_ms("", 4_000)
@@ -65,13 +65,13 @@
 
 
 @lru_cache(maxsize=1024)
-def _header_names(key: str) -> tuple[str, str]:
+def _header_name(key: str) -> tuple[str, str]:
     name = key.replace("_", "-").title()
     return name, name.lower()
 
 
 def forwarded_headers(headers: dict[str, str]) -> Pairs:
-    """The headers that are an instance's business too.
+    """The headers to forward to the instance: all but those that concern one connection.
 
     Example:
         >>> forwarded_headers({"X_A": "1", "CONNECTION": "close, X-B", "X_B": "2"})
@@ -80,27 +80,27 @@
     dropped = DROPPED_HEADERS
     if "CONNECTION" in headers:
         dropped = dropped | {x.strip().lower() for x in headers["CONNECTION"].split(",")}
-    kept = []
+    forwarded = []
     for key, value in headers.items():
-        name, low = _header_names(key)
-        if low not in dropped:
-            kept.append((name, value))
-    return tuple(kept)
+        name, lower = _header_name(key)
+        if lower not in dropped:
+            forwarded.append((name, value))
+    return tuple(forwarded)
 
 
 def split_credential(headers: Pairs, name: str) -> tuple[Pairs, Pairs]:
-    """The headers without the caller's credential, and the credential.
+    """Split headers into those without the caller's credential, and the credential.
 
     Example:
         >>> split_credential((("A", "1"), ("Authorization", "Bearer k")), "authorization")
         ((('A', '1'),), (('Authorization', 'Bearer k'),))
     """
-    kept = tuple(header for header in headers if header[0].lower() != name)
-    return kept, tuple(header for header in headers if header[0].lower() == name)
+    rest = tuple(header for header in headers if header[0].lower() != name)
+    return rest, tuple(header for header in headers if header[0].lower() == name)
 
 
 class CallReader:
-    """Reads whole requests as calls, by how callers speak.
+    """Reads complete requests as calls, by the header names of the caller dialect.
 
     Example:
         CallReader(CallerDialect()).wait(request) == "700"
@@ -114,7 +114,7 @@
         self.credential_name = dialect.credential_header.lower()
 
     def wait(self, request: Parser) -> str:
-        """How long the caller waits, as it says so.
+        """The caller's wait header as it was sent; empty without one.
 
         Example:
             reader.wait(request) == "700"
@@ -125,16 +125,17 @@
         self, request: Parser, slot: SlotId, call_id: CallId, address: str, path: str,
         waited_ms: int,
     ) -> CallIn:  # fmt: skip
-        """The call that a request asks for; its credential stands apart from what is passed on.
+        """The call of a request. The credential is kept apart from the forwarded headers.
 
         Example:
             reader.call(request, slot, CallId("ex1-0"), "10.0.0.9", "/readings", 0).path
         """
         headers = request.headers
-        shown, credential = split_credential(forwarded_headers(headers), self.credential_name)
+        forwarded, credential = split_credential(forwarded_headers(headers), self.credential_name)
         body = request.get_body_stream().read() if request.body_rcv is not None else b""
         return CallIn(
             slot, call_id, headers.get(self.client_key) or address, request.command, path,
-            request.query, shown, body, self.wait(request), headers.get(self.idempotency_key, ""),
-            waited_ms, request.host, headers.get(self.attempt_key, ""), request.target, credential,
+            request.query, forwarded, body, self.wait(request),
+            headers.get(self.idempotency_key, ""), waited_ms, request.host,
+            headers.get(self.attempt_key, ""), request.target, credential,
         )  # fmt: skip
--- a/spokeroute/exchange/round_trip.py
+++ b/spokeroute/exchange/round_trip.py
@@ -1,5 +1,5 @@
-"""A running estimate of round trips and their spread, as TCP's retransmission timer keeps it
-(RFC 6298): the timeout follows what was seen, instead of a fixed bound.
+"""A running estimate of round-trip time and its deviation, as TCP's retransmission timer keeps it
+(RFC 6298), so that timeouts follow the observed round trips.
 """
 
 from __future__ import annotations
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 
 SMOOTHING = 1 / 8  # the weight of a new sample in the mean
-DEVIATION_SMOOTHING = 1 / 4  # and in the mean deviation
-DEVIATION_FACTOR = 4  # how many mean deviations the timeout lies above the mean
+DEVIATION_SMOOTHING = 1 / 4  # the weight of a new sample in the mean deviation
+DEVIATION_FACTOR = 4  # the timeout is the mean plus this many mean deviations
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,15 +35,15 @@
             >>> RoundTrip(20.0, 0.0).with_sample(28.0)
             RoundTrip(smoothed_ms=21.0, deviation_ms=2.0)
         """
-        off_ms = abs(took_ms - self.smoothed_ms)
+        error_ms = abs(took_ms - self.smoothed_ms)
         return RoundTrip(
             self.smoothed_ms + SMOOTHING * (took_ms - self.smoothed_ms),
-            self.deviation_ms + DEVIATION_SMOOTHING * (off_ms - self.deviation_ms),
+            self.deviation_ms + DEVIATION_SMOOTHING * (error_ms - self.deviation_ms),
         )
 
     @property
     def timeout_ms(self) -> float:
-        """After how long without an answer the peer counts as silent.
+        """The time without an answer after which the peer counts as silent.
 
         Example:
             >>> RoundTrip(20.0, 5.0).timeout_ms
--- a/spokeroute/exchange/seen.py
+++ b/spokeroute/exchange/seen.py
@@ -1,4 +1,4 @@
-"""The attempts that a holder was handed lately, so that a doubled frame is no second send."""
+"""The attempts that a holder received recently, so that a duplicate frame causes no second send."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from spokeroute.common.ids import Ms
 
 MIN_RETENTION_MS = 30_000
-"""At least this long an attempt is remembered: a connection between nodes is given up after 3 s
-without an acknowledgement, so what is later than this comes over no connection of ours."""
+"""An attempt is remembered for at least this long. Connections between nodes are closed after 3 s
+without an acknowledgement, so that no duplicate can arrive later than this."""
 
 
 @dataclass(frozen=True, slots=True)
 class Seen:
-    """Attempt ids in two generations; the older one goes when the newer one is full of time.
+    """Attempt ids in two generations; the older one is dropped when the newer one has aged.
 
     Example:
         >>> "c1.0" in Seen().add("c1.0", Ms(0))
@@ -30,15 +30,15 @@
         return attempt_id in self.newer or attempt_id in self.older
 
     def add(self, attempt_id: str, now_ms: Ms) -> Seen:
-        """With one more.
+        """With one more attempt id.
 
         Example:
             seen = seen.add("c1.0", now_ms)
         """
         if now_ms - self.since_ms < MIN_RETENTION_MS:
             return Seen(self.newer.set(attempt_id, True), self.older, self.since_ms)
-        one: Map[str, bool] = Map({attempt_id: True})
+        newer: Map[str, bool] = Map({attempt_id: True})
         older: Map[str, bool] = (
             self.newer if now_ms - self.since_ms < 2 * MIN_RETENTION_MS else Map()
         )
-        return Seen(one, older, now_ms)
+        return Seen(newer, older, now_ms)
--- a/spokeroute/http/connections.py
+++ b/spokeroute/http/connections.py
@@ -1,6 +1,6 @@
-"""waitress's channels on the loop's own selector, without a thread of their own.
+"""Callers' connections: waitress channels on the event loop's selector, without their own threads.
 
-waitress reads requests and keeps what waits to be written.
+waitress parses the requests and buffers the output.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class SelectorMap(dict[int, Any]):
-    """waitress's map of sockets, kept in step with a selector.
+    """waitress's socket map, kept in sync with a selector.
 
     Example:
         SelectorMap(selectors.DefaultSelector())
@@ -44,7 +44,7 @@
             self.selector.unregister(fd)
 
     def update_events(self, fd: int, each: Any, old: int, new: int) -> int:
-        """Wait for other events on a socket.
+        """Change the events that a socket is registered for; return the new events.
 
         Example:
             watched_events = self.update_events(fd, channel, READ, READ | WRITE)
@@ -61,16 +61,16 @@
 
 
 class Connection(HTTPChannel):  # type: ignore[misc]
-    """One caller's connection."""
+    """A caller's connection."""
 
     parser_class = Parser
     requests: list[Any]
     watched_events = READ
     served = 0
     admitted = 0
-    """Requests that were read before intake ended, in whole or in part."""
+    """How many requests had been read, in whole or in part, when intake ended."""
     awaiting_answer = False
-    """Whether the first request was handed on and has no answer yet."""
+    """Whether the first request was dispatched and has no answer yet."""
     partial_request: Any = None
     partial_since_s = 0.0
     lingers = True
@@ -79,7 +79,7 @@
 
     @property
     def last_activity(self) -> float:
-        """When something last went over it, by the monotonic clock.
+        """When it last sent or received data, by the monotonic clock.
 
         Example:
             connection.last_activity <= time.monotonic()
@@ -91,7 +91,7 @@
         self._last_activity_s = time.monotonic()
 
     def handle(self, mask: int) -> None:
-        """Read and write what can be.
+        """Handle read and write events.
 
         Example:
             connection.handle(selectors.EVENT_READ)
@@ -103,11 +103,11 @@
                 self._flush_exception(self._flush_some)
             self.update()
         except Exception as fault:
-            logging.error("a caller's connection failed: %s", fault, exc_info=fault)
+            logging.error("caller connection failed: %s", fault, exc_info=fault)
             self.handle_close()
 
     def handle_read(self) -> None:
-        """Read once.
+        """Read available data once.
 
         Example:
             connection.handle_read()
@@ -136,8 +136,8 @@
             self.partial_request, self.partial_since_s = self.request, self._last_activity_s
 
     def answer(self, data: bytes, close: bool, lingers: bool = True) -> None:
-        """Write the answer to the first request; ``close`` ends the connection after it, with a
-        while of reading on if it ``lingers``.
+        """Write the answer to the first request. ``close`` closes the connection after it, with a
+        lingering close if ``lingers``.
 
         Example:
             connection.answer(b"HTTP/1.1 204 No Content\\r\\n\\r\\n", close=False)
@@ -158,11 +158,9 @@
         elif self.requests:
             self.server.add_task(self)
         elif self.request is not None:
-            self.partial_since_s = (
-                self._last_activity_s
-            )  # the part that was read has its whole time yet
-            waits = self.request.expect_continue and self.request.headers_finished
-            if waits and not self.sent_continue:
+            self.partial_since_s = self._last_activity_s  # the partial request's timeout starts now
+            needs_continue = self.request.expect_continue and self.request.headers_finished
+            if needs_continue and not self.sent_continue:
                 self.send_continue()
         self.update()
 
@@ -182,7 +180,7 @@
                 self.write_soon(data[sent:])
 
     def update(self) -> None:
-        """Close what is to be closed, and wait for the events that matter now.
+        """Close if due, and register for the events that are needed now.
 
         Example:
             connection.update()
@@ -204,8 +202,8 @@
         self.watched_events = self._map.update_events(self._fileno, self, self.watched_events, new)
 
     def linger(self) -> None:
-        """Say that nothing more comes, and read on for a while: a close with unread bytes would
-        reset the connection under the answer.
+        """Shut down the write side and keep reading for a while: a close with unread bytes would
+        reset the connection before the caller has read the answer.
 
         Example:
             connection.linger()
@@ -219,7 +217,7 @@
         self.linger_until_s = time.monotonic() + LINGER_TIMEOUT_S
 
     def handle_close(self) -> None:
-        """End it at once.
+        """Close at once.
 
         Example:
             connection.handle_close()
@@ -232,7 +230,7 @@
 
     @property
     def idle(self) -> bool:
-        """Whether no request is on it, not even a part of one, and nothing is being written.
+        """Whether it has no request, not even a partial one, and no output pending.
 
         Example:
             connection.idle
@@ -240,7 +238,7 @@
         return not (self.requests or self.request is not None or self.total_outbufs_len)
 
     def check_timeouts(self, now_s: float, limits: Limits) -> bool:
-        """Look after it; whether a request began on it and did not come whole in time.
+        """Enforce its timeouts; True if a request on it did not arrive completely in time.
 
         Example:
             connection.check_timeouts(time.monotonic(), Limits())
@@ -255,15 +253,15 @@
             return (now_s - self.partial_since_s) * 1000 >= limits.header_timeout_ms
         if (now_s - self._last_activity_s) * 1000 < limits.idle_timeout_ms:
             return False
-        if self.total_outbufs_len:  # nobody reads its answer
+        if self.total_outbufs_len:  # the caller does not read its answer
             self.handle_close()
             return False
         self.close_if_idle()
         return False
 
     def close_if_idle(self) -> None:
-        """Close it if nothing has arrived on it that was not read yet. What comes after that is
-        left unread, so that its sender sees that nobody took it.
+        """Close it unless unread data has arrived. Data that arrives later stays unread, so that
+        its sender can tell that it was not processed.
 
         Example:
             connection.close_if_idle()
--- a/spokeroute/http/framing.py
+++ b/spokeroute/http/framing.py
@@ -1,4 +1,4 @@
-"""Framing: an answer's bytes on a caller's connection.
+"""Serializes an answer for a caller's connection.
 
 Example:
     >>> head = response_head(Answer(204, (), b""), b"", Framing("GET"))
@@ -21,12 +21,12 @@
     ("connection", "keep-alive", "te", "trailer", "trailers", "transfer-encoding", "upgrade",
      "proxy-connection", "proxy-authenticate", "proxy-authorization", "content-length")
 )  # fmt: skip
-"""What concerns one connection only, and the length, which is told anew."""
+"""Hop-by-hop headers, and the length, which is set anew."""
 
 
 @dataclass(frozen=True, slots=True)
 class Framing:
-    """What an answer's bytes depend on besides the answer."""
+    """What the serialization depends on besides the answer."""
 
     method: str
     version: str = "1.1"
@@ -35,8 +35,7 @@
 
 
 def hop_by_hop_headers(headers: tuple[tuple[str, str], ...]) -> frozenset[str]:
-    """The headers that concern this connection only: the known ones, and those that
-    ``Connection`` names.
+    """The hop-by-hop headers of a message: the standard ones and those that ``Connection`` names.
 
     Example:
         >>> "x-a" in hop_by_hop_headers((("Connection", "close, X-A"),))
@@ -49,8 +48,8 @@
 
 
 def response_head(answer: Answer, body: bytes, framing: Framing) -> bytes:
-    """The status line and the headers, with the length of ``body`` where one is told. A date is
-    the instance's own: no wall clock of ours is trusted.
+    """The status line and the headers, with the length of ``body`` where one is sent. Any Date is
+    the instance's own, because the wall clock of this process is not trusted.
 
     Example:
         >>> b"Content-Length: 2" in response_head(Answer(200, (), b"{}"), b"{}", Framing("GET"))
@@ -61,17 +60,17 @@
     dropped = hop_by_hop_headers(answer.headers)
     length = ""
     for name, value in answer.headers:
-        low = name.lower()
-        if low == "content-length":
+        lower = name.lower()
+        if lower == "content-length":
             length = value
-        if low in dropped:
+        if lower in dropped:
             continue
-        if "\r" in value or "\n" in value:  # a folded line: one line, as its reader is meant to
+        if "\r" in value or "\n" in value:  # unfold a folded header line
             value = " ".join(value.split())
         lines.append(f"{name}: {value}")
     if status >= 200 and status != 204:
-        bare = framing.method == "HEAD" or status == 304
-        if not bare:
+        bodiless = framing.method == "HEAD" or status == 304
+        if not bodiless:
             lines.append(f"Content-Length: {len(body)}")
         elif length or (body and status != 304):
             lines.append(f"Content-Length: {length or len(body)}")
@@ -87,12 +86,12 @@
 
 
 def response_bytes(answer: Answer, framing: Framing) -> bytes:
-    """All bytes of an answer.
+    """The complete bytes of an answer.
 
     Example:
         >>> response_bytes(Answer(200, (), b"{}"), Framing("GET")).endswith(b"{}")
         True
     """
     head = response_head(answer, answer.body, framing)
-    bare = framing.method == "HEAD" or answer.status in (204, 304)
-    return head if bare else head + answer.body
+    bodiless = framing.method == "HEAD" or answer.status in (204, 304)
+    return head if bodiless else head + answer.body
--- a/spokeroute/http/listener.py
+++ b/spokeroute/http/listener.py
@@ -1,7 +1,8 @@
-"""waitress's server on the loop's own selector: a listening socket and its connections.
+"""waitress's server on the event loop's selector: a listening socket and its connections.
 
-Whoever serves takes whole requests out of ``arrived``, and answers each by ``Connection.answer``;
-``gone`` holds connections that ended while a request was open on them.
+The user of a listener takes connections with a complete request from ``ready_connections`` and
+answers with ``Connection.answer``. ``closed_connections`` holds connections that closed while a
+request was awaiting its answer.
 """
 
 from __future__ import annotations
@@ -19,10 +20,10 @@
 from spokeroute.http.connections import READ, Connection, SelectorMap
 from spokeroute.http.wsgi import Limits
 
-MAX_ACCEPTS_PER_TURN = 64  # in one turn
+MAX_ACCEPTS_PER_TURN = 64
 MAX_CONNECTIONS = 2_000
 SWEEP_INTERVAL_S = 0.25
-UNLIMITED_BYTES = 1 << 40  # neither files nor waits for a writer: bounds stand elsewhere
+UNLIMITED_BYTES = 1 << 40  # no overflow max_files or write blocking: other limits bound buffers
 
 
 class Listener(TcpWSGIServer):  # type: ignore[misc]
@@ -53,16 +54,16 @@
             None, watched, True, None, dispatcher=self, adj=adjustments,
             sockinfo=adjustments.listen[0],
         )  # fmt: skip
-        self.trigger.close()  # nothing writes from another thread
-        files = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-        self.max_connections = min(MAX_CONNECTIONS, max(64, files // 2))
+        self.trigger.close()  # no other thread writes
+        max_files = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+        self.max_connections = min(MAX_CONNECTIONS, max(64, max_files // 2))
         self.paused = False
         self.last_sweep_s = time.monotonic()
         self.limits = limits
 
     @property
     def limits(self) -> Limits:
-        """What clients may do; swapped whole, for requests that begin after that.
+        """What clients may send. A new value applies to requests that start after it.
 
         Example:
             listener.limits = Limits(max_body_bytes=1 << 20)
@@ -73,13 +74,13 @@
     def limits(self, limits: Limits) -> None:
         self._limits = limits
         adjustments = copy.copy(self.adj)
-        # waitress refuses what reaches its bounds; these may be reached.
+        # waitress rejects sizes equal to its limits; ours are inclusive.
         adjustments.max_request_header_size = limits.max_header_bytes + 1
         adjustments.max_request_body_size = limits.max_body_bytes + 1
         self.adj = adjustments
 
     def add_task(self, task: Any) -> None:
-        """waitress has read a request.
+        """Called by waitress when a request is complete.
 
         Example:
             listener.add_task(connection)
@@ -87,10 +88,10 @@
         self.ready_connections.append(task)
 
     def pull_trigger(self) -> None:
-        """Nobody sleeps on waitress's own loop."""
+        """Do nothing: waitress's own loop is not used."""
 
     def handle(self, mask: int) -> None:
-        """Take new connections in.
+        """Accept new connections.
 
         Example:
             listener.handle(selectors.EVENT_READ)
@@ -103,38 +104,40 @@
             except (BlockingIOError, ConnectionError):
                 break
             except OSError as fault:
-                logging.warning("no connection is taken in for a moment: %s", fault)
+                logging.warning("accept failed, pausing until the next sweep: %s", fault)
                 self.paused = True
                 break
             try:
                 self.set_socket_options(accepted)
                 self.channel_class(self, accepted, address, self.adj, map=self._map)
-            except OSError:  # it is gone already
+            except OSError:  # already closed by the peer
                 accepted.close()
         self.update()
 
     def update(self) -> None:
-        """Wait for connections while there is room for them.
+        """Accept connections only while there is capacity for them.
 
         Example:
             listener.update()
         """
         if self.socket is None:
             return
-        room = not self.paused and len(self.active_channels) < self.max_connections
+        has_capacity = not self.paused and len(self.active_channels) < self.max_connections
         self.watched_events = self._map.update_events(
-            self._fileno, self, self.watched_events, READ if room else 0
+            self._fileno, self, self.watched_events, READ if has_capacity else 0
         )
 
     def sweep(self, now_s: float) -> list[Connection]:
-        """Look after every connection; those whose request did not come whole in time.
+        """Check all timeouts; return connections whose request did not arrive completely in time.
 
         Example:
             listener.sweep(time.monotonic())
         """
         limits = self._limits
         lag_s = now_s - self.last_sweep_s - SWEEP_INTERVAL_S
-        if lag_s > SWEEP_INTERVAL_S:  # what this process slept through is no caller's delay
+        if (
+            lag_s > SWEEP_INTERVAL_S
+        ):  # time in which this process was stalled does not count against callers
             for each in self.active_channels.values():
                 each.partial_since_s += lag_s
         self.last_sweep_s = now_s
@@ -144,7 +147,7 @@
         return late
 
     def end_intake(self) -> None:
-        """Mark what was read so far, in whole or in part: nothing else is served from now on.
+        """Record what was read so far, in whole or in part: only that is still served.
 
         Example:
             listener.end_intake()
@@ -154,7 +157,7 @@
             each.admitted = len(each.requests) + (each.request is not None)
 
     def close_idle(self) -> None:
-        """Close connections that have had their answers and that nothing has arrived on.
+        """Close connections that have been answered and have no new data.
 
         Example:
             listener.close_idle()
@@ -165,7 +168,7 @@
 
     @property
     def partial_connections(self) -> list[Connection]:
-        """Connections on which a part of a request was read before intake ended.
+        """Connections with a request that was read in part before intake ended.
 
         Example:
             listener.partial_connections == []
@@ -175,7 +178,7 @@
 
     @property
     def busy(self) -> bool:
-        """Whether somebody waits for an answer, or for the rest of one.
+        """Whether a caller is waiting for an answer or for the rest of one.
 
         Example:
             listener.busy
@@ -186,7 +189,7 @@
         )
 
     def stop_accepting(self) -> None:
-        """Listen no more. Who came until now is taken in; its request is still read.
+        """Stop listening. Connections that are pending are accepted, and their requests are read.
 
         Example:
             listener.stop_accepting()
@@ -197,7 +200,7 @@
 
     @property
     def has_unclosed(self) -> bool:
-        """Whether somebody has not closed yet after its last answer, or came and said nothing.
+        """Whether a caller has not closed after its last answer, or has not sent a request yet.
 
         Example:
             listener.has_unclosed
--- a/spokeroute/http/parser.py
+++ b/spokeroute/http/parser.py
@@ -1,7 +1,8 @@
-"""waitress's request parser with its reading of the head replaced: less costly, stricter where two
-readers of one request could differ, and exact where a bound is told to callers.
+"""waitress's request parser with its own parsing of the head. It is faster, stricter where two
+parsers could read one request differently, and exact in the limits that callers are told.
 
-What it takes, waitress takes too, and reads alike: ``tests/test_parser.py`` compares them.
+waitress also accepts every request that this parser accepts, with the same result:
+``tests/test_parser.py`` compares them.
 """
 
 from __future__ import annotations
@@ -28,14 +29,14 @@
 
 @lru_cache(maxsize=2048)
 def _key(name: str) -> str:
-    """A header's key; empty for a name that WSGI could mix up with another one."""
+    """A header's key; empty for a name with ``_``, which WSGI can't tell from one with ``-``."""
     if not NAME.fullmatch(name):
-        raise ParsingError("a header's name can't be read")
+        raise ParsingError("invalid header name")
     return "" if "_" in name else name.upper().replace("-", "_")
 
 
 class Parser(HTTPRequestParser):  # type: ignore[misc]
-    """One request as it comes in.
+    """Parses one request incrementally.
 
     Example:
         Parser(adjustments).received(b"GET / HTTP/1.1\\r\\nHost: a\\r\\n\\r\\n")
@@ -48,7 +49,7 @@
     host = ""
 
     def received(self, data: bytes) -> int:
-        """Take bytes in; how many of them belong to this request.
+        """Parse bytes; return how many of them belong to this request.
 
         Example:
             parser.received(data) <= len(data)
@@ -58,15 +59,15 @@
         return int(super().received(data))
 
     def _receive_chunks(self, data: bytes, most_bytes: int) -> int:
-        """A body's bound counts its bytes, and leaves room for what marks the chunks."""
+        """The body limit counts body bytes; chunk headers have an allowance of their own."""
         if self.completed:
             return 0
         body = self.body_rcv
         taken = int(body.received(data))
         self.body_bytes_received += taken
-        marked_bytes = 2 * most_bytes + CHUNK_OVERHEAD_BYTES
-        if len(body) >= most_bytes or self.body_bytes_received > marked_bytes:
-            self.error = RequestEntityTooLarge("the body is over the bound")
+        max_encoded_bytes = 2 * most_bytes + CHUNK_OVERHEAD_BYTES
+        if len(body) >= most_bytes or self.body_bytes_received > max_encoded_bytes:
+            self.error = RequestEntityTooLarge("request body over the limit")
             self.completed = True
         elif body.error:
             self.error = body.error
@@ -77,19 +78,27 @@
         return taken
 
     def parse_header(self, header_plus: bytes) -> None:
-        """Read the request line and the headers.
+        """Parse the request line and the headers.
 
         Example:
             parser.parse_header(b"GET / HTTP/1.1\\r\\nHost: a\\r\\n")
         """
         text = header_plus.decode("latin-1")
         lines = text.split("\r\n")
-        ends = len(lines) - 1
-        if text.count("\r") != ends or text.count("\n") != ends or CONTROL_CHARS.search(text):
-            raise ParsingError("the head has bytes that no head may have")
-        first = lines[0].split(" ")
-        if len(first) != 3 or not METHOD.fullmatch(first[0]) or first[2] not in VERSIONS:
-            raise ParsingError("the request line can't be read")
+        line_ends = len(lines) - 1
+        if (
+            text.count("\r") != line_ends
+            or text.count("\n") != line_ends
+            or CONTROL_CHARS.search(text)
+        ):
+            raise ParsingError("request head has invalid control characters or line ends")
+        request_line = lines[0].split(" ")
+        if (
+            len(request_line) != 3
+            or not METHOD.fullmatch(request_line[0])
+            or request_line[2] not in VERSIONS
+        ):
+            raise ParsingError("malformed request line")
         headers = self.headers
         for line in lines[1:]:
             if not line:
@@ -97,59 +106,61 @@
             name, colon, value = line.partition(":")
             key = _key(name)
             if not colon:
-                raise ParsingError("a header has no colon")
+                raise ParsingError("header line without a colon")
             if not key:
                 continue
             value = value.strip(" \t")
             headers[key] = f"{headers[key]}, {value}" if key in headers else value
-        self.command = first[0]
-        self.version = VERSIONS[first[2]]
+        self.command = request_line[0]
+        self.version = VERSIONS[request_line[2]]
         self.url_scheme = self.adj.url_scheme
-        self._read_target(first[1])
+        self._read_target(request_line[1])
         connection = headers.get("CONNECTION", "").lower()
-        said = [token.strip() for token in connection.split(",")] if connection else []
-        old = self.version == "1.0"
-        self.connection_close = "close" in said or (old and "keep-alive" not in said)
-        self._read_framing(old)
+        options = [token.strip() for token in connection.split(",")] if connection else []
+        http_1_0 = self.version == "1.0"
+        self.connection_close = "close" in options or (http_1_0 and "keep-alive" not in options)
+        self._read_framing(http_1_0)
 
     def _read_target(self, target: str) -> None:
         self.request_uri = target
         if not TARGET.fullmatch(target):
-            raise ParsingError("the target can't be read")
+            raise ParsingError("invalid request target")
         host = self.headers.get("HOST")
         if not target.startswith("/") and target != "*":
             absolute = ABSOLUTE_TARGET.fullmatch(target)
             if absolute is None:
-                raise ParsingError("the target is neither a path nor a whole address")
+                raise ParsingError("request target is neither a path nor an absolute URL")
             host, rest = absolute.groups()
             target = rest if rest.startswith("/") else f"/{rest}"
         if host is None and self.version == "1.1":
-            raise ParsingError("no host")
+            raise ParsingError("missing Host header")
         if host is not None and not HOST.fullmatch(host):
-            raise ParsingError("the host can't be read")
+            raise ParsingError("invalid Host header")
         self.target, self.host = target, host or ""
         path, _, self.query = target.partition("#")[0].partition("?")
         self.path = unquote_to_bytes(path).decode("latin-1") if "%" in path else path
 
-    def _read_framing(self, old: bool) -> None:
+    def _read_framing(self, http_1_0: bool) -> None:
         headers = self.headers
         coding, length = headers.pop("TRANSFER_ENCODING", None), headers.get("CONTENT_LENGTH")
         if coding is not None:
-            if old or length is not None:
-                raise ParsingError("chunks, and what contradicts them")
+            if http_1_0 or length is not None:
+                raise ParsingError("Transfer-Encoding with HTTP/1.0 or Content-Length")
             if coding.lower() != "chunked":
-                raise TransferEncodingNotImplemented("no transfer coding but chunks is known")
+                raise TransferEncodingNotImplemented("unsupported transfer coding")
             self.chunked = True
             self.body_rcv = ChunkedReceiver(OverflowableBuffer(self.adj.inbuf_overflow))
         elif length is not None:
             if not length.isascii() or not length.isdigit():
-                raise ParsingError("the length can't be read")
+                raise ParsingError("invalid Content-Length")
             self.content_length = (
                 int(length) if len(length) <= MAX_LENGTH_DIGITS else 10**MAX_LENGTH_DIGITS
             )
             if self.content_length:
                 buffer = OverflowableBuffer(self.adj.inbuf_overflow)
                 self.body_rcv = FixedStreamReceiver(self.content_length, buffer)
-        welcome = self.body_rcv is not None and self.content_length < self.adj.max_request_body_size
-        said = headers.get("EXPECT", "").lower()
-        self.expect_continue = not old and welcome and said == "100-continue"
+        acceptable = (
+            self.body_rcv is not None and self.content_length < self.adj.max_request_body_size
+        )
+        expect = headers.get("EXPECT", "").lower()
+        self.expect_continue = not http_1_0 and acceptable and expect == "100-continue"
--- a/spokeroute/http/reader.py
+++ b/spokeroute/http/reader.py
@@ -1,8 +1,8 @@
-"""The reading of an instance's answer, strict where the library's reader guesses.
+"""Reads an instance's answer, strictly where the library's reader is lenient.
 
-An answer that is cut, or whose parts do not fit together, is never taken for a whole one: a head or
-a chunk's size that ends without its line end, a length and chunks at once, a coding that is not
-``chunked`` alone, a header line that is none.
+A truncated or inconsistent answer is never taken for a complete one: a head or chunk size without
+its line end, Content-Length together with chunks, a transfer coding other than ``chunked`` alone,
+a malformed header line.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class BoundedReader:
-    """A connection's bytes, of which each line must end, and all lines together soon.
+    """Reads a connection; every line must be terminated, and all lines together are bounded.
 
     Example:
         BoundedReader(sock.makefile("rb")).readline()
@@ -40,10 +40,10 @@
         self.started = False
 
     def readline(self, most_bytes: int = READ_BYTES) -> bytes:
-        """A whole line; an error for what ends without one.
+        """Read a complete line; raises UntrustedError if it is truncated.
 
         Example:
-            lines.readline() == b"HTTP/1.1 200 OK\\r\\n"
+            reader.readline() == b"HTTP/1.1 200 OK\\r\\n"
         """
         line = self.raw.readline(most_bytes)
         if not line and not self.started:
@@ -58,19 +58,19 @@
         return line
 
     def check_deadline(self) -> None:
-        """An error once the time to read it is over.
+        """Raise UntrustedError once the deadline has passed.
 
         Example:
-            lines.check_deadline()
+            reader.check_deadline()
         """
         if self.deadline_ms and monotonic_ms() > self.deadline_ms:
             raise UntrustedError("it did not end in time")
 
     def read(self, size: int) -> bytes:
-        """So many bytes of a body; an error where there are fewer.
+        """Read exactly ``size`` bytes of a body; raises UntrustedError if there are fewer.
 
         Example:
-            lines.read(4) == b"done"
+            reader.read(4) == b"done"
         """
         parts: list[bytes] = []
         while size:
@@ -83,23 +83,23 @@
         return b"".join(parts)
 
     def flush(self) -> None:
-        """Nothing is written here.
+        """Do nothing: the reader never writes.
 
         Example:
-            lines.flush()
+            reader.flush()
         """
 
     def close(self) -> None:
-        """Let the connection's bytes go.
+        """Close the underlying stream.
 
         Example:
-            lines.close()
+            reader.close()
         """
         self.raw.close()
 
 
 class Response(HTTPResponse):
-    """An answer of an instance, to be there by a deadline if one is given.
+    """An instance's answer, which must be complete by the deadline if one is given.
 
     Example:
         conn.response_class = partial(Response, deadline_ms=deadline_ms)
@@ -113,7 +113,7 @@
         self.fp = self.reader
 
     def header_value(self, name: str) -> str | None:
-        """A header's value, of all its lines; None where it is not there.
+        """A header's value, its lines joined by commas; None without the header.
 
         Example:
             response.header_value("Content-Length") == "4"
@@ -122,7 +122,7 @@
         return None if values is None else ", ".join(values)
 
     def read_body(self, most_bytes: int, method: str = "GET") -> bytes:
-        """The whole body of an answer whose end is framed; an UntrustedError for any other.
+        """Read the complete body of a framed answer; raises UntrustedError for any other.
 
         Example:
             response.read_body(4096)
@@ -152,10 +152,10 @@
         parts: list[bytes] = []
         left_bytes = most_bytes
         while True:
-            found = CHUNK_SIZE.fullmatch(self.reader.readline())
-            if found is None:
+            match = CHUNK_SIZE.fullmatch(self.reader.readline())
+            if match is None:
                 raise UntrustedError("a chunk's size that is none")
-            size = int(found[1], 16)
+            size = int(match[1], 16)
             if size == 0:
                 break
             left_bytes -= size
@@ -169,15 +169,15 @@
         return b"".join(parts)
 
     def has_surplus(self, sock: socket.socket) -> bool:
-        """Whether there are bytes after a whole answer, or the connection ended.
+        """Whether bytes follow the complete answer, or the connection was closed.
 
         Example:
             response.has_surplus(conn.sock)
         """
         sock.settimeout(0)
         try:
-            more = self.reader.raw.peek(1)
-            if more:
+            extra = self.reader.raw.peek(1)
+            if extra:
                 return True
             return _connection_ended(sock)
         except OSError:
