--- a/spokeroute/http/__init__.py
+++ b/spokeroute/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 towards callers and operators: parsing, limits, connections, dialects."""
+"""HTTP/1.1 for callers and operators: parsing, limits, connections, dialects."""
--- a/tests/scripted_instance.py
+++ b/tests/scripted_instance.py
@@ -1,4 +1,4 @@
-"""An instance on a loopback socket that answers each request as it is told, or worse."""
+"""A test instance on a loopback socket that answers requests as scripted, also incorrectly."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class How(Enum):
-    """What becomes of a request; the second word is what may be said of it."""
+    """How a request is answered; the second value is whether the instance runs it."""
 
     WHOLE = ("whole", True)
     CHUNKS = ("in chunks", True)
@@ -67,7 +67,7 @@
 
 @dataclass
 class Got:
-    """A request as it came."""
+    """A received request."""
 
     name: str
     how: How
@@ -76,7 +76,7 @@
 
 @dataclass
 class Instance:
-    """Answers in the order of ``script``; more requests than that are turned away."""
+    """Answers in the order of ``script``; requests past its end are rejected as not run."""
 
     script: deque[tuple[How, int]]
     got: list[Got] = field(default_factory=list)
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -120,7 +120,7 @@
 
     honest = Response.header_value
     patch.setattr(
-        Response, "one",
+        Response, "header_value",
         lambda self, name: Same("") if name == "Attempt" else honest(self, name),
     )  # fmt: skip
 
--- a/tests/test_bytes.py
+++ b/tests/test_bytes.py
@@ -1,4 +1,5 @@
-"""What is said between zones, and how little of it need be."""
+"""Traffic between zones: values are fetched from one member at a time, preferably of the own zone,
+and probes go to no more members than a proof needs."""
 
 from __future__ import annotations
 
@@ -18,8 +19,8 @@
 LIFE = Incarnation(1)
 
 
-def asked(state: replica.State, now_ms: int) -> dict[str, Probe]:
-    """The probes of one beat, by member."""
+def probes_of(state: replica.State, now_ms: int) -> dict[str, Probe]:
+    """The probes of one heartbeat, by member."""
     _, effects = replica.step(replace(state, next_ms=Ms(0)), Tick(), Ms(now_ms))
     out: dict[str, Probe] = {}
     for effect in effects:
@@ -28,7 +29,7 @@
     return out
 
 
-def begun() -> replica.State:
+def replica_in_centre() -> replica.State:
     nodes = {"m1": "north", "m2": "centre", "m3": "south"}
     view = tuple(ViewEntry(n, 1, f"{n}:1", "registry", z, 0) for n, z in nodes.items())
     state = replica.State((), address="ex:1", places=Places("centre"))
@@ -40,68 +41,68 @@
     return replace(state, roster=Roster(Epoch(1), members))
 
 
-def bringers_of(probes: dict[str, Probe]) -> set[str]:
+def asked_for_values(probes: dict[str, Probe]) -> set[str]:
     return {node for node, probe in probes.items() if probe.values}
 
 
-def test_only_the_member_of_the_own_zone_brings_values() -> None:
-    state = begun()
-    assert bringers_of(asked(state, 1_000)) == set()  # no answer counts without a roster
+def test_values_are_requested_only_from_the_member_of_the_own_zone() -> None:
+    state = replica_in_centre()
+    assert asked_for_values(probes_of(state, 1_000)) == set()  # without a roster no answer counts
     for proved_ms in (-1, 1_000):
         known = replace(with_roster(state), proved_ms=Ms(proved_ms))
-        got = asked(known, 1_300)
-        assert bringers_of(got) == {"m2"}
+        got = probes_of(known, 1_300)
+        assert asked_for_values(got) == {"m2"}
         assert not got["m1"].have
         other = replace(known, places=Places("west"))  # a zone without a registry
-        assert len(bringers_of(asked(other, 1_300))) == 1
+        assert len(asked_for_values(probes_of(other, 1_300))) == 1
 
 
-def beat(state: replica.State, at_ms: int) -> tuple[replica.State, set[str]]:
-    probes = asked(state, at_ms)
+def tick(state: replica.State, at_ms: int) -> tuple[replica.State, set[str]]:
+    probes = probes_of(state, at_ms)
     state, _ = replica.step(replace(state, next_ms=Ms(0)), Tick(), Ms(at_ms))
-    return state, bringers_of(probes)
+    return state, asked_for_values(probes)
 
 
-def test_values_are_asked_for_once_at_a_time_and_more_and_more_rarely() -> None:
-    """The members answer, but for the one that brings the values: what it sends is on its way over
-    a narrow link, or it is gone. Each beat asked all members anew."""
-    state, asks = with_roster(begun()), list[str]()
+def test_values_are_requested_from_one_member_at_a_time_with_growing_intervals() -> None:
+    """All members answer except the one asked for values: its answer is still on its way over a
+    narrow link, or it is gone. Each heartbeat used to request the values from all members again."""
+    state, asks = with_roster(replica_in_centre()), list[str]()
     for at_ms in range(1_000, 13_000, 200):
-        state, brings = beat(state, at_ms)
-        asks.extend(sorted(brings))
+        state, asked = tick(state, at_ms)
+        asks.extend(sorted(asked))
         for node in ("m1", "m2", "m3"):
             if state.asks.open is None or node != state.asks.open.node:
                 ack = ProbeAck(state.nonce, 1, (), (), ())
                 state, _ = replica.step(state, From(NodeId(node), LIFE, ack), Ms(at_ms + 5))
-        assert len(brings) <= 1
-    assert asks[0] == "m2" and len(set(asks)) == 3  # another member has its turn
+        assert len(asked) <= 1
+    assert asks[0] == "m2" and len(set(asks)) == 3  # the other members are tried too
     assert len(asks) <= 7
 
 
-def test_an_answer_that_came_or_was_lost_makes_room_for_the_next_ask() -> None:
-    state, brings = beat(with_roster(begun()), 1_000)
-    assert brings == {"m2"}
-    assert beat(state, 1_200)[1] == set()
+def test_values_are_requested_again_after_an_answer_or_its_loss() -> None:
+    state, asked = tick(with_roster(replica_in_centre()), 1_000)
+    assert asked == {"m2"}
+    assert tick(state, 1_200)[1] == set()
     late = ProbeAck(state.nonce, 1, (), (), ())
     answered, _ = replica.step(state, From(NodeId("m2"), LIFE, late), Ms(1_250))
-    assert beat(answered, 1_300)[1] == {"m2"}
+    assert tick(answered, 1_300)[1] == {"m2"}
     for at_ms in range(1_200, 9_000, 200):  # cut off: nobody answers
-        state, _ = beat(state, at_ms)
+        state, _ = tick(state, at_ms)
     ack = ProbeAck(state.nonce, 1, (), (), ())
     state, _ = replica.step(state, From(NodeId("m3"), LIFE, ack), Ms(9_000))
-    assert state.next_ms <= 9_020 and len(beat(state, 9_020)[1]) == 1
+    assert state.next_ms <= 9_020 and len(tick(state, 9_020)[1]) == 1
 
 
-def test_neighbours_are_not_asked_for_what_the_members_bring() -> None:
-    state = replace(with_roster(begun()), proved_ms=Ms(1_000))
+def test_peers_are_not_asked_for_values_that_the_members_send() -> None:
+    state = replace(with_roster(replica_in_centre()), proved_ms=Ms(1_000))
     heard = GossipHeard(NodeId("ex2"), (Copy("floor", 7, "d", 7, "m1"),))
     assert replica.step(state, heard, Ms(1_300))[1] == ()
     asks = replica.step(state, heard, Ms(3_000))[1]
     assert [type(e.message).__name__ for e in asks if isinstance(e, Send)] == ["FetchAsk"]
 
 
-def test_a_floor_change_comes_to_an_exchange_once(sim: Sim) -> None:
-    """Also where the member of its zone is gone: then from another one."""
+def test_a_placement_change_is_sent_to_an_exchange_once(sim: Sim) -> None:
+    """If the member of its zone is gone, another member sends it."""
     sim.settle()
     node = sim.exchanges[0]
     near = next(r for r in sim.registries if r.zone == node.zone)
@@ -124,30 +125,30 @@
     sim.traffic(80, 3_000, ("/small/1", "/small/2"))
     sim.run(5_000)
     newest = max(f.sequence for _, _, f in sim.floors)
-    assert node.state("calls").tables.floor.sequence >= newest - 3  # it changes on
+    assert node.state("calls").tables.floor.sequence >= newest - 3  # it keeps changing
 
 
-def test_shared_entries_come_as_they_were() -> None:
+def test_ledger_shares_are_packed_without_loss() -> None:
     entries = tuple((f"k{i}", '{"picture":"' + "x" * 500 + '"}') for i in range(20))
     packed = pack_share(entries)
     assert unpack_share(packed) == entries
     assert len(packed) < sum(len(t) for _, t in entries) / 10
 
 
-def test_between_two_turns_only_as_many_are_asked_as_make_a_proof() -> None:
-    """Where calls wait for an instance, probes come up to 25 times a second."""
-    state = replace(with_roster(begun()), proved_ms=Ms(1_000), reports=Reports((), (), within_ms=40,
-                    placement=NodeId("m3")))  # fmt: skip
-    state, _ = beat(state, 1_010)
-    assert set(asked(state, 1_060)) == {"m2", "m3"}  # its zone's, and the one that places
+def test_frequent_probes_go_only_to_as_many_members_as_a_proof_needs() -> None:
+    """While calls wait for an instance, probes are sent up to 25 times a second."""
+    state = replace(with_roster(replica_in_centre()), proved_ms=Ms(1_000),
+                    reports=Reports((), (), within_ms=40, placement=NodeId("m3")))  # fmt: skip
+    state, _ = tick(state, 1_010)
+    assert set(probes_of(state, 1_060)) == {"m2", "m3"}  # of its zone, and the placement member
     anywhere = replace(state, reports=replace(state.reports, placement=NodeId("gone")))
-    assert len(asked(anywhere, 1_060)) == 2
-    assert set(asked(state, 1_410)) == {"m1", "m2", "m3"}  # in turn
+    assert len(probes_of(anywhere, 1_060)) == 2
+    assert set(probes_of(state, 1_410)) == {"m1", "m2", "m3"}  # a regular heartbeat
     unproved = replace(state, proved_ms=Ms(600))
-    assert set(asked(unproved, 1_060)) == {"m1", "m2", "m3"}  # one of the two may be gone
+    assert set(probes_of(unproved, 1_060)) == {"m1", "m2", "m3"}  # one of the two may be gone
 
 
-def test_who_places_is_known_by_its_lists(sim: Sim) -> None:
+def test_the_placement_member_is_known_from_its_lists(sim: Sim) -> None:
     sim.settle()
     sim.run(2_000)
     placing = [n for n in sim.registries if n.state("placement").term]
--- a/tests/test_early_end.py
+++ b/tests/test_early_end.py
@@ -1,6 +1,6 @@
-"""Processes that were told to end while they started ended by the signal ("ex1 ended with -15"), as
-they heeded signals only after their modules had been read, which took a busy machine over five
-seconds; SIGHUP, which only tells of new settings, ended them too."""
+"""Signals during start-up. Signal handlers were installed only after all modules were imported,
+which takes over five seconds on a busy machine. SIGTERM in that time killed the process (exit
+status -15) instead of ending it in order, and SIGHUP, which reloads settings, killed it too."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
     ["platform/node.py", "exchange"],
     ["platform/node.py", "registry"],
 )
-READING = "import time\nprint('reading', flush=True)\ntime.sleep(60)\n"
+SLOW_MODULE = "import time\nprint('reading', flush=True)\ntime.sleep(60)\n"
 
 
 @pytest.fixture
-def slow(tmp_path: Path) -> dict[str, str]:
-    """An environment in which reading a library takes a minute."""
-    (tmp_path / "absl.py").write_text(READING)
+def slow_import(tmp_path: Path) -> dict[str, str]:
+    """An environment in which importing a library takes a minute."""
+    (tmp_path / "absl.py").write_text(SLOW_MODULE)
     return {**os.environ, "PYTHONPATH": f"{tmp_path}{os.pathsep}{ROOT}"}
 
 
@@ -38,10 +38,10 @@
 
 
 @pytest.mark.parametrize("words", PROGRAMS)
-def test_a_daemon_that_is_told_to_end_while_it_starts_ends_in_order(
-    words: list[str], slow: dict[str, str]
+def test_a_daemon_that_is_terminated_during_start_up_exits_in_order(
+    words: list[str], slow_import: dict[str, str]
 ) -> None:
-    process = started(words, slow)
+    process = started(words, slow_import)
     process.send_signal(signal.SIGHUP)
     with pytest.raises(subprocess.TimeoutExpired):
         process.wait(0.3)
@@ -49,7 +49,7 @@
     assert process.wait(20) == 0
 
 
-def test_the_client_ends_by_the_signal(slow: dict[str, str]) -> None:
-    process = started(["-m", "spokeroute", "client"], slow)
+def test_the_client_is_killed_by_the_signal(slow_import: dict[str, str]) -> None:
+    process = started(["-m", "spokeroute", "client"], slow_import)
     process.send_signal(signal.SIGTERM)
     assert process.wait(20) == -signal.SIGTERM
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -1,5 +1,5 @@
-"""The edges, over real sockets on loopback: the sender against instances that misbehave,
-frames against garbage, settings and configurations against bad input."""
+"""Input validation at the process boundary: the sender against misbehaving instances over loopback
+sockets, frames against garbage, settings and configurations against invalid input."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from spokeroute.transport.frames import MAX_FRAME_BYTES, Envelope, FrameError, cut, decode, encode
 from spokeroute.transport.messages import Finish
 
-WHO = b'{"service":"readings","instance":"r-1"}'
+IDENTITY = b'{"service":"readings","instance":"r-1"}'
 
 
 def answer(
@@ -37,8 +37,8 @@
     return f"HTTP/1.1 200 OK\r\nContent-Length: {size}\r\n{head}\r\n".encode() + body
 
 
-class Scripted:
-    """A socket that answers each request on a connection with the next of its replies."""
+class ScriptedServer:
+    """Accepts one connection and answers each request on it with the next of its replies."""
 
     def __init__(self, replies: list[bytes]) -> None:
         self.replies = replies
@@ -63,13 +63,13 @@
 
 
 def send_attempt(address: str, *rest: Any) -> SendAttempt:
-    """The try t1 towards the instance r-1 of readings."""
+    """The attempt t1 at instance r-1 of the service readings."""
     row: list[Any] = ["t1", "r-1", "readings", address, *rest]
     return SendAttempt(*row)
 
 
-def tried(replies: list[bytes], good_for_ms: int = 5_000, wait_ms: int = 1_500) -> AttemptDone:
-    server = Scripted(replies)
+def attempt(replies: list[bytes], good_for_ms: int = 5_000, wait_ms: int = 1_500) -> AttemptDone:
+    server = ScriptedServer(replies)
     done: queue.Queue[AttemptDone] = queue.Queue()
     now = monotonic_ms()
     Sender(done.put).launch(
@@ -79,11 +79,11 @@
     return done.get(timeout=10)
 
 
-def test_a_whole_echoed_answer_counts() -> None:
-    done = tried([answer(WHO, ""), answer(b"done")])
+def test_a_complete_answer_that_echoes_the_attempt_counts() -> None:
+    done = attempt([answer(IDENTITY, ""), answer(b"done")])
     assert (done.ran, done.status, done.body) == ("yes", 200, b"done")
     chunked = b"HTTP/1.1 200 OK\r\nSpokeroute-Attempt: t1\r\nTransfer-Encoding: chunked\r\n\r\n"
-    done = tried([answer(WHO, ""), chunked + b"4\r\ndone\r\n0\r\n\r\n"])
+    done = attempt([answer(IDENTITY, ""), chunked + b"4\r\ndone\r\n0\r\n\r\n"])
     assert (done.ran, done.body) == ("yes", b"done")
 
 
@@ -100,27 +100,27 @@
         b"",
     ],
 )
-def test_any_doubt_is_no_success(reply: bytes) -> None:
-    assert tried([answer(WHO, ""), reply]).ran == "maybe"
+def test_a_doubtful_answer_may_have_run(reply: bytes) -> None:
+    assert attempt([answer(IDENTITY, ""), reply]).ran == "maybe"
 
 
-def test_no_answer_is_unknown() -> None:
-    stalled = Scripted([answer(WHO, "")])
-    stalled.replies.append(
+def test_an_attempt_without_an_answer_may_have_run() -> None:
+    server = ScriptedServer([answer(IDENTITY, "")])
+    server.replies.append(
         b"HTTP/1.1 200 OK\r\nSpokeroute-Attempt: t1\r\nContent-Length: 9\r\n\r\nx"
     )
     done: queue.Queue[AttemptDone] = queue.Queue()
     now = monotonic_ms()
     Sender(done.put).launch(
-        send_attempt(stalled.address, "GET", "/", (), b"",
+        send_attempt(server.address, "GET", "/", (), b"",
                 Ms(now + 400), Ms(now + 5_000))
     )  # fmt: skip
     assert done.get(timeout=10).ran == "maybe"
 
 
-def test_another_instance_gets_nothing() -> None:
+def test_nothing_is_sent_to_another_instance_at_the_address() -> None:
     other = answer(b'{"service":"readings","instance":"r-2"}', "")
-    server = Scripted([other, answer(b"done")])
+    server = ScriptedServer([other, answer(b"done")])
     done: queue.Queue[AttemptDone] = queue.Queue()
     now = monotonic_ms()
     Sender(done.put).launch(
@@ -132,12 +132,12 @@
     assert len(server.requests) == 1
 
 
-def test_nothing_is_sent_past_the_proof() -> None:
-    done = tried([answer(WHO, ""), answer(b"done")], good_for_ms=-1)
+def test_nothing_is_sent_after_the_proof_expired() -> None:
+    done = attempt([answer(IDENTITY, ""), answer(b"done")], good_for_ms=-1)
     assert done.ran == "no" and "proof" in done.reason
 
 
-def test_nobody_there_is_not_run() -> None:
+def test_a_refused_connection_did_not_run() -> None:
     with socket.create_server(("127.0.0.1", 0)) as held:
         port = held.getsockname()[1]
     done: queue.Queue[AttemptDone] = queue.Queue()
@@ -149,7 +149,7 @@
     assert done.get(timeout=10).ran == "no"
 
 
-def test_bad_frames_are_refused() -> None:
+def test_malformed_frames_are_rejected() -> None:
     frame = encode(Envelope("a", 1, "h:1", "b", Finish("floor")))
     assert decode(frame).message == Finish("floor")
     assert cut(frame + frame[:7]) == ([frame], frame[:7])
@@ -162,7 +162,7 @@
         cut((MAX_FRAME_BYTES + 1).to_bytes(4, "big") + frame[4:5])
 
 
-def test_bad_configurations_list_every_fault() -> None:
+def test_invalid_configurations_list_every_fault() -> None:
     doc = {
         "zones": ["north", "nowhere"],
         "services": [
@@ -193,7 +193,7 @@
         assert isinstance(read_configuration(bad, ()), tuple)
 
 
-def test_examples_are_taken() -> None:
+def test_example_configurations_are_accepted() -> None:
     for name in ("tooluur", "organismo"):
         body = (Path(__file__).parent.parent / "examples" / f"{name}.json").read_bytes()
         got = read_configuration(body, ("north", "centre", "south"))
@@ -201,7 +201,7 @@
         assert len(got.services) == 79
 
 
-def test_bad_settings_name_the_remedy(tmp_path: Path) -> None:
+def test_invalid_settings_name_the_remedy(tmp_path: Path) -> None:
     good = {"name": "ex1", "zone": "north", "trunk": "127.0.0.1:7001",
             "http": "127.0.0.1:8001", "seeds": ("127.0.0.1:7002",)}  # fmt: skip
     check_settings(read_settings("", good), "exchange")
@@ -220,14 +220,14 @@
         read_settings(str(path), {})
 
 
-def test_bad_settings_end_the_process_in_one_line() -> None:
+def test_invalid_settings_end_the_process_with_one_line() -> None:
     command = [sys.executable, "-m", "spokeroute", "exchange", "--name", "x"]
     got = subprocess.run(command, capture_output=True, timeout=60, check=False)
     assert got.returncode == 2
     assert got.stderr.decode().count("\n") == 1 and b"zone" in got.stderr
 
 
-def test_a_disk_is_the_member(tmp_path: Path) -> None:
+def test_the_disk_identifies_the_member(tmp_path: Path) -> None:
     first = Disk(tmp_path / "a", 16)
     member = first.load().member
     first.close()
@@ -244,9 +244,9 @@
     blank.close()
 
 
-def test_the_ledger_leaves_the_registers_their_room(tmp_path: Path) -> None:
-    """Found by reckoning: at the brief's load a day's entries filled the whole environment,
-    and a full one ends the member's vote."""
+def test_the_ledger_leaves_space_for_the_registers(tmp_path: Path) -> None:
+    """At the specified load, a day of ledger entries would fill the LMDB environment, and a member
+    with a full environment can no longer vote."""
     disk = Disk(tmp_path / "small", 16)
     rng = random.Random(1)
     for batch in range(60):
--- a/tests/test_late_answers.py
+++ b/tests/test_late_answers.py
@@ -1,16 +1,15 @@
-"""Front nodes behind links of 2 Mbit/s lost part of what they said to the core for four seconds,
-while the operator changed the configuration and calls waited for instances. Long after the last
-loss one of them still had no proof, went by the configuration of that time, and answered that a
-route which had been added since did not exist. It asked every 40 ms, each question with reports
-on hundreds of instances, and only its last eight questions counted: what was answered later
-than 320 ms after it was asked proved nothing, and the values in the answer were thrown away. So
-answers that were slow made for more questions, which made them slower: "proof 11966 ms old,
-holds 574, link out queues 33020 ms, sent in 0.5 s Probe 379850 bytes", while its neighbours'
-proofs were 24 to 40 ms old.
-
-On a day with one member cut off from the others, the nodes of that member's zone asked it alone
-for values. It answered at once, with nothing newer: "no proof for 2045 ms; answers to a
-question: 5 of 5 members; not here: configuration 26 (here: 19), floor 654 (here: 604)"."""
+"""Late answers to probes must count as proof, and their values must be kept.
+
+Exchanges behind 2 Mbit/s links lost frames to the core for four seconds, while the configuration
+changed and calls waited for instances. One of them still had a proof of 12 s ago long afterwards
+(its neighbours': 24 to 40 ms) and answered, by its old configuration, that a newer route did not
+exist. It probed every 40 ms with reports on hundreds of instances (380 kB in 0.5 s, 33 s of queue
+on the link), and only its last eight probes counted: an answer after more than 320 ms proved
+nothing and its values were dropped. Slow answers led to more probes, and those to slower answers.
+
+In another run one member was cut off from the others, and the exchanges of its zone requested
+values from it alone. It answered at once, with nothing newer, so that they had no proof for 2045 ms
+although all five members had answered."""
 
 from __future__ import annotations
 
@@ -53,7 +52,7 @@
 @pytest.mark.parametrize(
     ("seed", "share", "loss_ms"), [(21, 0.6, 4_000), (22, 0.6, 4_000), (71, 0.9, 4_000)]
 )
-def test_configurations_are_in_force_in_time_again_once_frames_are_lost_no_more(
+def test_configurations_take_effect_in_time_again_after_frame_loss_ends(
     seed: int, share: float, loss_ms: int
 ) -> None:
     sim, rng, told, late = wide_sim(seed, FUNCTIONS), random.Random(seed), list[Told](), list[str]()
@@ -73,7 +72,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_values_come_from_another_member_where_the_near_one_is_cut_off(seed: int) -> None:
+def test_values_come_from_another_member_if_the_near_one_is_cut_off(seed: int) -> None:
     sim, told = wide_sim(seed, FUNCTIONS), list[Told]()
     sim.traffic(60, 9_000, paths_of(FUNCTIONS))
     sim.run(1_000)
@@ -97,22 +96,22 @@
     return now_ms - state.proved_ms
 
 
-def asker(**changes: object) -> State:
-    """A node of zone a that knows the core's five members; m0 alone is in its zone."""
+def replica_of_zone_a(**changes: object) -> State:
+    """A replica in zone a that knows the five members; only m0 is in its zone."""
     roster = Roster(Epoch(1), tuple((member, Address(f"{member}:1")) for member in MEMBERS))
     state = State((), roster=roster, zones=ZONES, places=Places("a"))
     return replace(state, **changes)  # type: ignore[arg-type]
 
 
 class Core:
-    """Members that answer each question after a delay; all have one version, but for those that
-    are behind."""
+    """Members that answer each probe after a delay; all have one version except those that are
+    behind."""
 
     def __init__(self, delay_ms: int, version: int, behind: tuple[str, ...] = ()) -> None:
         self.delay_ms = delay_ms
         self.version = version
         self.behind = behind
-        self.on_their_way: deque[tuple[int, From]] = deque()
+        self.in_transit: deque[tuple[int, From]] = deque()
         self.probes: list[tuple[int, str, Probe]] = []
 
     def hear(self, effects: Effects, now_ms: int) -> None:
@@ -136,17 +135,17 @@
     def _send(self, node: str, message: object, now_ms: int) -> None:
         if self.delay_ms >= 0:
             news = From(MemberId(node), LIFE, message)
-            self.on_their_way.append((now_ms + self.delay_ms, news))
+            self.in_transit.append((now_ms + self.delay_ms, news))
 
     def due(self, now_ms: int) -> list[From]:
         found = []
-        while self.on_their_way and self.on_their_way[0][0] <= now_ms:
-            found.append(self.on_their_way.popleft()[1])
+        while self.in_transit and self.in_transit[0][0] <= now_ms:
+            found.append(self.in_transit.popleft()[1])
         return found
 
 
-def play(state: State, core: Core, from_ms: int, for_ms: int, within_ms: int = 40) -> State:
-    """Calls wait for an instance all the time, so that the node asks as often as it may."""
+def run_replica(state: State, core: Core, from_ms: int, for_ms: int, within_ms: int = 40) -> State:
+    """Run the replica while calls wait for an instance, so that it probes as often as it may."""
     for now_ms in range(from_ms, from_ms + for_ms, BEAT_MS):
         held = tuple(
             HeldReport(f"i{number}", now_ms, 0, 0, True, False, False, 0) for number in range(3)
@@ -159,33 +158,33 @@
 
 
 @pytest.mark.parametrize("delay_ms", [60, 340, 700, 1_500])
-def test_answers_prove_however_many_questions_were_asked_since(delay_ms: int) -> None:
-    state = play(asker(), Core(delay_ms, version=7), 1_000, 6_000)
+def test_answers_prove_however_many_probes_were_sent_since(delay_ms: int) -> None:
+    state = run_replica(replica_of_zone_a(), Core(delay_ms, version=7), 1_000, 6_000)
     assert proof_age_ms(state, Ms(7_000)) <= 2 * delay_ms + 400
 
 
 def test_a_value_that_comes_with_a_late_answer_is_kept() -> None:
-    state = play(asker(), Core(700, version=7), 1_000, 2_000)
+    state = run_replica(replica_of_zone_a(), Core(700, version=7), 1_000, 2_000)
     assert state.here[FLOOR].copy.version == 7
 
 
-def test_a_member_that_is_behind_the_others_is_not_asked_for_values_again_and_again() -> None:
-    state = play(asker(), Core(20, version=1), 1_000, 2_000)
+def test_a_member_that_is_behind_is_not_asked_for_values_repeatedly() -> None:
+    state = run_replica(replica_of_zone_a(), Core(20, version=1), 1_000, 2_000)
     core = Core(20, version=9, behind=("m0",))
-    state = play(state, core, 3_000, 2_000)
+    state = run_replica(state, core, 3_000, 2_000)
     assert proof_age_ms(state, Ms(5_000)) <= 500
     asked = [node for at_ms, node, probe in core.probes if probe.values and at_ms > 3_500]
     assert asked.count("m0") <= len(asked) // 2, asked
 
 
-def test_reports_go_no_more_to_a_member_that_answers_nothing() -> None:
-    """What waits for its answer need not go again with each question: it would fill the link that
-    the answer has to come over."""
-    state = play(asker(), Core(20, version=1), 1_000, 2_000)
+def test_reports_are_not_sent_again_to_a_member_that_does_not_answer() -> None:
+    """Reports that await an acknowledgement are not repeated with each probe: they would fill the
+    link that the answer has to come over."""
+    state = run_replica(replica_of_zone_a(), Core(20, version=1), 1_000, 2_000)
     core = Core(-1, version=1)
-    play(state, core, 3_000, 4_000)
+    run_replica(state, core, 3_000, 4_000)
     for member in MEMBERS:
-        questions = [(at_ms, probe) for at_ms, node, probe in core.probes if node == member]
-        assert sum(1 for _, probe in questions if probe.held) <= 2, member
-        assert len(questions) <= 4_000 // 200 + 4, (member, len(questions))
-        assert questions[-1][0] >= 6_500, "a member that is back is found within half a second"
+        probes = [(at_ms, probe) for at_ms, node, probe in core.probes if node == member]
+        assert sum(1 for _, probe in probes if probe.held) <= 2, member
+        assert len(probes) <= 4_000 // 200 + 4, (member, len(probes))
+        assert probes[-1][0] >= 6_500, "a member that is back is probed within half a second"
--- a/tests/test_narrow_links.py
+++ b/tests/test_narrow_links.py
@@ -1,5 +1,5 @@
-"""Front nodes behind links of 2 Mbit/s, hundreds of functions: what rules at a node keeps up with
-what the operator changes, while instances start and end all the time."""
+"""Exchanges behind 2 Mbit/s links with hundreds of functions: their configuration keeps up with the
+operator's changes while instances start and stop all the time."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 @EACH
-def test_a_configuration_comes_in_force_in_time_while_functions_start_and_end(narrow: Sim) -> None:
+def test_a_configuration_takes_effect_in_time_while_functions_start_and_stop(narrow: Sim) -> None:
     told: list[Told] = []
     late: list[str] = []
     narrow.traffic(160, 12_000, PATHS)
@@ -40,8 +40,8 @@
 
 
 @EACH
-def test_proofs_are_young_while_functions_start_and_end(narrow: Sim) -> None:
-    """A proof may wait for a value on a narrow link, but not for the one after it."""
+def test_proofs_stay_recent_while_functions_start_and_stop(narrow: Sim) -> None:
+    """A proof may be delayed by one value on a narrow link, but not by the next one too."""
     narrow.traffic(160, 8_000, PATHS)
     narrow.run(2_000)
     ages: list[int] = []
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -37,7 +37,7 @@
 from tests.sim.acts import after
 from tests.sim.cluster import Sim
 from tests.test_adapter import adapter, document
-from tests.test_edge import Scripted
+from tests.test_edge import ScriptedServer
 from tests.test_numbers import in_force, named, ready, sent, wait
 from tools.judges import judge
 
@@ -159,7 +159,7 @@
 
 @pytest.mark.parametrize("lost", [b"", b"HTTP/1.1 200 OK\r\nContent-Le", said(503), said(504)])
 def test_the_client_sends_an_order_again_to_another_registry(lost: bytes) -> None:
-    first, second = Scripted([lost]), Scripted([said(200, b'{"version": 3}')])
+    first, second = ScriptedServer([lost]), ScriptedServer([said(200, b'{"version": 3}')])
     where = Where(f"{first.address},{second.address}")
     got = ask(where, "PUT", "/x", b"{}", {"Spokeroute-Apply-Id": "a-1"}, until_clear=True)
     assert isinstance(got, Said) and got.doc() == {"version": 3}
@@ -168,13 +168,13 @@
 
 
 def test_the_client_never_says_refused_of_an_order_whose_answer_was_lost() -> None:
-    first, second = Scripted([b""]), Scripted([said(503)])
+    first, second = ScriptedServer([b""]), ScriptedServer([said(503)])
     got = ask(Where(f"{first.address},{second.address}"), "PUT", "/x", b"{}", until_clear=True)
     assert isinstance(got, Unreached) and "may have been taken" in got.reason
 
 
 def test_the_client_s_refusal_is_final() -> None:
-    first = Scripted([said(409)])
+    first = ScriptedServer([said(409)])
     got = ask(Where(f"{first.address},127.0.0.1:1"), "PUT", "/x", b"{}", until_clear=True)
     assert isinstance(got, Said) and got.status == 409
 
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -1,4 +1,4 @@
-"""Calls that end late, refused or failed have one reason each; it is counted, told and bounded."""
+"""Unsuccessful calls are counted under one reason each; the counts are reported and bounded."""
 
 from __future__ import annotations
 
@@ -80,7 +80,7 @@
     assert late_reason(made, by, far, END_MS) == reason
 
 
-def test_late_is_past_the_aim_of_the_route_with_what_was_waited_before() -> None:
+def test_lateness_is_measured_against_the_aim_and_includes_earlier_waiting() -> None:
     assert not is_late(call(), Ms(1_500))
     assert is_late(call(), Ms(1_501))
     assert is_late(waited(call(), 1), Ms(1_500))
@@ -105,17 +105,17 @@
         ("lost: reset by the instance", Reason.INSTANCE_LOST),
     ],
 )
-def test_what_was_lost_is_told_apart(why: str, reason: Reason) -> None:
+def test_the_causes_of_lost_attempts_are_distinguished(why: str, reason: Reason) -> None:
     assert refusal_reason(refusal(Kind.LOST, Ran.MAYBE, why), why) == (Outcome.FAILED, reason)
 
 
-def test_a_refusal_at_once_is_told_from_one_at_the_end() -> None:
+def test_an_early_refusal_is_distinguished_from_a_late_one() -> None:
     early = refusal(Kind.NO_ROOM, Ran.NO, "the queue is long", retry_after_s=2)
     assert refusal_reason(early)[1] == Reason.LONG_QUEUE
     assert refusal_reason(refusal(Kind.NO_ROOM))[1] == Reason.NO_ROOM
 
 
-def test_names_of_services_are_cut_and_bounded() -> None:
+def test_service_names_are_truncated_and_bounded() -> None:
     outcomes = Outcomes()
     for number in range(3 * MAX_SERVICES):
         outcomes = outcomes.count(f"{number}{NAME}", Outcome.LATE, Reason.BOOT)
@@ -127,7 +127,7 @@
     assert outcomes.total[OTHER_SERVICES, "late", "waited_for_boot"] == 2 * MAX_SERVICES
 
 
-def test_a_batch_is_told_once_and_numbered() -> None:
+def test_a_batch_is_reported_once_and_numbered() -> None:
     outcomes = (
         Outcomes().count("s", Outcome.LATE, Reason.BOOT).count("s", Outcome.LATE, Reason.BOOT)
     )
@@ -137,24 +137,24 @@
     assert outcomes.batch(Ms(6))[0].reported_batches == 1
 
 
-def test_the_member_that_places_sums_them_and_enters_them() -> None:
-    told = OutcomesTold(3, (OutcomeRow("s", "late", "waited_for_boot", 2),))
+def test_the_placement_member_sums_outcomes_and_writes_them_to_the_ledger() -> None:
+    reported = OutcomesTold(3, (OutcomeRow("s", "late", "waited_for_boot", 2),))
     state = Placing(NodeId("m1"), term=4)
-    state, effects = outcomes_by(state, NodeId("ex1"), told)
-    state, _ = outcomes_by(state, NodeId("ex2"), told)
+    state, effects = outcomes_by(state, NodeId("ex1"), reported)
+    state, _ = outcomes_by(state, NodeId("ex2"), reported)
     assert state.outcomes["s", "late", "waited_for_boot"] == 4
     assert len(effects) == 1
-    assert outcomes_by(replace(state, term=0), NodeId("ex1"), told)[1] == ()
+    assert outcomes_by(replace(state, term=0), NodeId("ex1"), reported)[1] == ()
 
 
-def test_a_log_line_is_read_back_and_rubbish_is_not() -> None:
+def test_a_log_line_is_parsed_and_garbage_is_not() -> None:
     rows = (OutcomeRow("s", "late", "slow_run", 2), OutcomeRow('a"b', "failed", "bad_answer", 1))
     assert read_outcomes_line("ex1: calls: " + outcomes_line(rows)) == rows
     for line in ("", "outcomes", "outcomes [1", "outcomes [[1]]", 'outcomes [["a","b","c","d"]]'):
         assert read_outcomes_line(line) == ()
 
 
-def test_a_days_log_is_laid_out_by_reason_and_second() -> None:
+def test_a_log_is_summarized_by_reason_and_second() -> None:
     lines = [
         '   0.8130 front-1 W1 ring.py:1] front-1: calls: outcomes [["s","late","slow_run",2]]',
         '   7.1 front-2 W1 ring.py:1] front-2: calls: outcomes [["s","refused","no_room",5]]',
@@ -182,7 +182,7 @@
     assert "spokeroute_outcome_series_limit 2000.0" in text
 
 
-def test_a_label_from_outside_can_not_break_the_text() -> None:
+def test_metric_labels_are_escaped() -> None:
     odd = 'a"b\\c\nd{}é'
     text = text_of(Figures({(odd, "late", "slow_run"): 1})).decode()
     lines = [line for line in text.splitlines() if line.startswith("spokeroute_calls_total{")]
@@ -190,7 +190,7 @@
     assert lines[0].endswith("} 1.0")
 
 
-def test_steps_of_a_start_are_timed_in_order_and_once() -> None:
+def test_start_steps_are_timed_once_and_in_order() -> None:
     starts = StartSteps().begun("a", Ms(0))
     starts = starts.passed("a", StartStep.WRITE, Ms(20)).passed("a", StartStep.WRITE, Ms(90))
     starts = starts.passed("a", StartStep.PLATFORM, Ms(50)).passed("a", StartStep.ASK, Ms(60))
@@ -207,8 +207,8 @@
     assert (found.counts[0], found.counts[-1], found.count) == (1, 1, 2)
 
 
-def test_cold_starts_of_a_cluster_are_laid_out_by_step(sparse: Sim) -> None:
-    """What a call waited for at its exchange, and what the member that places saw of its start."""
+def test_cold_starts_of_a_cluster_are_timed_by_step(sparse: Sim) -> None:
+    """Both the waits at the exchange and the start steps at the placement member are recorded."""
     for number in range(12):
         sparse.call(f"/rare/{number}", sparse.exchanges[number])
         sparse.run(70)
@@ -227,7 +227,7 @@
     assert all(h.count >= 12 for h in steps.values())
 
 
-def test_a_clusters_refusals_reach_the_ledger(sparse: Sim) -> None:
+def test_refusals_of_a_cluster_reach_the_ledger(sparse: Sim) -> None:
     for exchange in sparse.exchanges:
         sparse.call("/nowhere", exchange)
     sparse.run(4_000)
--- a/tests/test_parser.py
+++ b/tests/test_parser.py
@@ -1,4 +1,5 @@
-"""The callers' parser beside waitress's own: what it takes, that one takes too, and reads alike."""
+"""Compares our request parser with waitress's: each request that ours accepts, waitress's accepts
+with the same result."""
 
 from __future__ import annotations
 
@@ -11,7 +12,7 @@
 from spokeroute.http.parser import Parser
 
 SEEDS = 300
-SWAPS = 40
+MUTATIONS = 40
 NAMES = ("Host", "X-A", "x-a", "Accept", "Connection", "Content-Type", "X_Odd", "Cookie", "Expect")
 VALUES = (
     "a",
@@ -34,7 +35,7 @@
     "http://h/p?q",
     "http://h?q",
 )
-ODD = b"\r\n\t\0 :;,#?%/aZ09\x7f\x80\xff"
+MUTATION_BYTES = b"\r\n\t\0 :;,#?%/aZ09\x7f\x80\xff"
 
 
 def request_of(rng: random.Random) -> bytes:
@@ -57,8 +58,8 @@
     return "\r\n".join([*lines, "", ""]).encode("latin-1") + body
 
 
-def read(kind: Any, data: bytes, rng: random.Random) -> Any:
-    """A request in pieces, and how much of the bytes were its own."""
+def parse(kind: Any, data: bytes, rng: random.Random) -> Any:
+    """Parse a request fed in pieces; return the parser and how many bytes it consumed."""
     parser = kind(Adjustments(max_request_body_size=10_000))
     taken = 0
     while taken < len(data) and not parser.completed:
@@ -69,7 +70,7 @@
     return parser, taken
 
 
-def reading(parser: Any, taken: int) -> tuple[Any, ...]:
+def result_of(parser: Any, taken: int) -> tuple[Any, ...]:
     body = parser.get_body_stream().read()
     headers = {k: v for k, v in parser.headers.items() if k != "TRANSFER_ENCODING"}
     return (
@@ -78,39 +79,39 @@
     )  # fmt: skip
 
 
-def test_proper_requests_are_read_as_waitress_reads_them() -> None:
+def test_valid_requests_are_parsed_like_waitress_parses_them() -> None:
     for seed in range(SEEDS):
         rng = random.Random(seed)
         data = request_of(rng)
         if b"HTTP/1.0" in data and b"Transfer-Encoding" in data:
             continue
-        ours, theirs = (reading(*read(kind, data, rng)) for kind in (Parser, HTTPRequestParser))
+        ours, theirs = (result_of(*parse(kind, data, rng)) for kind in (Parser, HTTPRequestParser))
         assert ours == theirs, data
         assert ours[0] == len(data) and ours[1]
 
 
-def test_what_is_taken_of_spoiled_requests_waitress_reads_alike() -> None:
-    taken, refused = 0, 0
+def test_accepted_mutated_requests_are_parsed_like_waitress_parses_them() -> None:
+    accepted, rejected = 0, 0
     for seed in range(SEEDS):
         rng = random.Random(seed)
         data = request_of(rng)
-        for _ in range(SWAPS):
-            spoiled = bytearray(data)
+        for _ in range(MUTATIONS):
+            mutated = bytearray(data)
             for _ in range(rng.randrange(1, 4)):
-                at = rng.randrange(len(spoiled))
+                at = rng.randrange(len(mutated))
                 match rng.randrange(3):
                     case 0:
-                        spoiled[at] = rng.choice(ODD)
+                        mutated[at] = rng.choice(MUTATION_BYTES)
                     case 1:
-                        spoiled.insert(at, rng.choice(ODD))
+                        mutated.insert(at, rng.choice(MUTATION_BYTES))
                     case _:
-                        del spoiled[at]
-            ours, ours_taken = read(Parser, bytes(spoiled), rng)
+                        del mutated[at]
+            ours, ours_taken = parse(Parser, bytes(mutated), rng)
             if ours.error or not ours.completed or ours.empty:
-                refused += 1
+                rejected += 1
                 continue
-            theirs, theirs_taken = read(HTTPRequestParser, bytes(spoiled), rng)
-            assert not theirs.error, bytes(spoiled)
-            assert reading(ours, ours_taken) == reading(theirs, theirs_taken), bytes(spoiled)
-            taken += 1
-    assert taken > 1_000 and refused > 1_000
+            theirs, theirs_taken = parse(HTTPRequestParser, bytes(mutated), rng)
+            assert not theirs.error, bytes(mutated)
+            assert result_of(ours, ours_taken) == result_of(theirs, theirs_taken), bytes(mutated)
+            accepted += 1
+    assert accepted > 1_000 and rejected > 1_000
--- a/tests/test_platform_edge.py
+++ b/tests/test_platform_edge.py
@@ -18,7 +18,7 @@
 )
 from spokeroute.exchange.connect import ConnectDone, ConnectJob, Connector, connect
 from spokeroute.registry.platform_edge import HttpPlatform, PlatformEdge
-from tests.test_edge import Scripted
+from tests.test_edge import ScriptedServer
 
 
 def job(op: str, identity: str = "", good_for_ms: int = 5_000) -> PlatformCall:
@@ -60,7 +60,7 @@
     ("status", "outcome"), [(202, "ok"), (429, "refused"), (409, "failed"), (500, "failed")]
 )
 def test_the_products_own_contract_names_instances_by_our_id(status: int, outcome: str) -> None:
-    server = Scripted([f"HTTP/1.1 {status} X\r\nContent-Length: 0\r\n\r\n".encode()])
+    server = ScriptedServer([f"HTTP/1.1 {status} X\r\nContent-Length: 0\r\n\r\n".encode()])
     done = HttpPlatform(server.address).call(job("start"))
     assert done.outcome == outcome
     assert done.identity == ("readings-1-2-1" if outcome == "ok" else "")
@@ -68,7 +68,7 @@
 
 def test_a_stop_goes_by_identity_and_falls_back_to_our_id() -> None:
     for identity, path in (("i-7", b"/instances/i-7 "), ("", b"/instances/readings-1-2-1 ")):
-        server = Scripted([b"HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n"])
+        server = ScriptedServer([b"HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n"])
         assert HttpPlatform(server.address).call(job("stop", identity)).outcome == "ok"
         assert path in server.requests[0]
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Failures caused in the simulated cluster; the judges read what came of each."""
+"""Injects failures into the simulated cluster; the judges check the invariants afterwards."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def clean(sim: Sim, drain_ms: float = 9_000) -> None:
-    """Let every wait run out, then ask the judges."""
+    """Run until every wait has ended, then check the invariants."""
     sim.run(drain_ms)
     assert judge(sim.log()) == []
 
@@ -33,8 +33,8 @@
 
 @EACH
 def test_worker_crash(sim: Sim) -> None:
-    """Calls of the fallen worker's instances go to their successors; once-only ones that
-    may have run are told so."""
+    """Calls of the crashed worker's instances go to their successors; calls that must not be
+    repeated and may have run are answered as such."""
     sim.settle()
     sim.traffic(60, 20_000)
     sim.run(5_000)
@@ -64,7 +64,7 @@
 
 @EACH
 def test_placement_holder_killed(sim: Sim) -> None:
-    """The next holder takes a higher term and finishes what was begun."""
+    """The next placement member takes a higher term and completes pending operations."""
     sim.settle()
     sim.traffic(40, 25_000)
     sim.run(2_000)
@@ -110,8 +110,8 @@
 
 
 @EACH
-def test_crowd_on_sleepers(sim: Sim) -> None:
-    """Rare services wake together, and a crowd comes to one of them."""
+def test_burst_on_services_without_instances(sim: Sim) -> None:
+    """Calls arrive in bulk at services without running instances."""
     sim.settle()
     for _ in range(40):
         sim.call("/small/1", wait_ms=8000)
@@ -122,9 +122,9 @@
 
 
 @EACH
-def test_configuration_change_rules_everywhere(sim: Sim) -> None:
-    """A route moves to another service; one exchange is cut from two of the three registries,
-    another from all."""
+def test_configuration_change_takes_effect_everywhere(sim: Sim) -> None:
+    """A route moves to another service while one exchange is cut off from two of the three
+    registries and another from all."""
     sim.settle()
     sim.traffic(60, 16_000)
     sim.run(2_000)
@@ -163,7 +163,7 @@
 
 @EACH
 def test_storm_of_applies(sim: Sim) -> None:
-    """Every acknowledgement is true, and the newest one rules."""
+    """Every acknowledged apply is durable, and the newest is in force."""
     sim.settle()
     sim.traffic(30, 10_000)
     for number in range(30):
@@ -179,7 +179,7 @@
 
 @EACH
 def test_bad_answers(sim: Sim) -> None:
-    """Instances that answer garbage, cut answers short, answer late, or die after the work."""
+    """Instances that answer garbage, truncate answers, answer late, or crash after the work."""
     sim.settle()
     for how in ("garbage", "short", "late", "dies", "lost"):
         ill = [s for s in sim.platform.servers.values() if s.service in ("readings", "corrections")]
@@ -208,7 +208,7 @@
 
 @EACH
 def test_same_key_at_several_exchanges(sim: Sim) -> None:
-    """At once, again later, with another body, and after the first one's exchange died."""
+    """At once, later, with another body, and after the crash of the first call's exchange."""
     sim.settle()
     first = [sim.call("/corrections", e, key="same") for e in sim.exchanges]
     sim.run(3_000)
@@ -227,7 +227,7 @@
 
 @EACH
 def test_exchange_freezes_and_wakes(sim: Sim) -> None:
-    """Frozen for longer than the lease and than every wait, with calls and forwards in it."""
+    """Frozen for longer than the lease and every wait, with calls and forwards in flight."""
     sim.settle()
     sim.traffic(60, 24_000)
     sim.run(3_000)
@@ -240,7 +240,7 @@
 
 @EACH
 def test_placement_holder_freezes_and_wakes(sim: Sim) -> None:
-    """Woken after another took the role, it calls the platform for nothing."""
+    """A placement member that wakes after another took the role makes no platform calls."""
     sim.settle()
     sim.traffic(40, 20_000)
     sim.run(2_000)
@@ -258,7 +258,7 @@
 
 
 @EACH
-def test_listing_fails_and_workers_go(sim: Sim) -> None:
+def test_listing_fails_and_workers_crash(sim: Sim) -> None:
     sim.settle()
     sim.traffic(40, 24_000)
     sim.run(2_000)
@@ -274,7 +274,7 @@
 
 @EACH
 def test_platform_refuses_and_starts_fail(sim: Sim) -> None:
-    """Over the cap, starts that come to nothing, and starts that come up twice."""
+    """The platform's rate cap is exceeded, starts fail, and starts are requested twice."""
     sim.settle()
     sim.platform.cap_per_s = 4
     services = configuration()["services"]
@@ -290,13 +290,13 @@
     up = {s.service for s in sim.platform.servers.values() if s.state == "running"}
     assert {f"rare-{n}" for n in range(12)} <= up
     started = [c[3] for c in sim.platform.calls if c[2] == "start"]
-    assert len(started) > len(set(started))  # asked again, by the same id
+    assert len(started) > len(set(started))  # requested again with the same id
     assert level(sim.log(), sim.env.now - 20_000, sim.env.now - 9_000) > 0.99
 
 
 @EACH
-def test_callers_that_repeat_too_fast(sim: Sim) -> None:
-    """One client storms a route; it is told to slow down, and others are served."""
+def test_callers_over_their_rate_limit(sim: Sim) -> None:
+    """One client exceeds its rate limit; it gets 429, and others are served."""
     routes = configuration()["routes"]
     routes[0]["perClientPerS"] = 10.0
     sim.settle(routes=routes)
@@ -310,8 +310,8 @@
     assert all(a.status == 200 for a in sim.asked[1::2])
 
 
-def test_sleepers_wake_together_under_the_cap() -> None:
-    """75 rare services are called at once; the cap of starts a second holds."""
+def test_many_cold_starts_stay_under_the_start_rate_cap() -> None:
+    """75 services without instances are called at once; the cap on starts per second holds."""
     sim = Sim(4, start_ms=900.0)
     try:
         sim.start()
@@ -337,9 +337,9 @@
 
 
 @EACH
-def test_bare_listings_and_orphans(sim: Sim) -> None:
-    """A listing that lacks everything for a second drops nothing; an instance that is on no
-    floor is stopped in time; a platform that numbers its listings anew is heard again."""
+def test_empty_listings_and_orphans(sim: Sim) -> None:
+    """A listing that is empty for a second drops no instance; an instance that is not in the
+    placement table is stopped in time; a listing sequence that starts again is accepted."""
     sim.settle()
     sim.traffic(40, 20_000)
     before = {s.id for s in sim.platform.servers.values() if s.service == "readings"}
@@ -357,9 +357,9 @@
 
 
 @EACH
-def test_an_exchange_that_stops_hands_its_instances_over(sim: Sim) -> None:
-    """SIGTERM: others hold its instances within two seconds, not after the lease and the
-    longest run, and no call but those in its own line is refused."""
+def test_a_stopping_exchange_hands_over_its_instances(sim: Sim) -> None:
+    """After SIGTERM, others hold its instances within two seconds instead of after the lease and
+    the longest run, and only calls that it queued itself are refused."""
     sim.settle()
     sim.traffic(60, 12_000)
     sim.run(2_000)
@@ -386,9 +386,9 @@
 
 
 @EACH
-def test_a_cold_instance_that_is_slow_is_not_pushed(sim: Sim) -> None:
-    """A crowd comes to fresh instances that could run many at once and answer none of them in
-    their first second: five each in any second, and no burst beyond it."""
+def test_a_slow_cold_instance_is_not_overloaded(sim: Sim) -> None:
+    """New instances with a high limit answer nothing in their first second: each gets at most five
+    calls in any second, however many arrive."""
     sim.platform.work_ms = 900.0
     services = configuration()["services"]
     services[2] = {**services[2], "limit": 20, "coldMs": 4_000}
--- a/tests/test_sender_dialect.py
+++ b/tests/test_sender_dialect.py
@@ -1,4 +1,4 @@
-"""The sender by a dialect that names the instance on each send, and says "not run"."""
+"""The sender with a dialect that names the instance in each request and marks calls as not run."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from spokeroute.exchange.sender import Sender
 from spokeroute.exchange.types import AttemptDone
 from spokeroute.http.dialect import InstanceDialect
-from tests.test_edge import Scripted, send_attempt
+from tests.test_edge import ScriptedServer, send_attempt
 
 DIALECT = InstanceDialect(
     attempt_header="Attempt", wait_header="Left", identity_header="Meant", who_path="",
@@ -25,9 +25,9 @@
     return f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{head}\r\n".encode() + body
 
 
-def tried(replies: list[bytes], count: int = 1) -> tuple[list[AttemptDone], list[bytes]]:
-    """Calls one after the other on one instance, with their answers."""
-    server = Scripted(replies)
+def attempts_with(replies: list[bytes], count: int = 1) -> tuple[list[AttemptDone], list[bytes]]:
+    """Make calls one after another at one instance; return the results and the requests."""
+    server = ScriptedServer(replies)
     done: queue.Queue[AttemptDone] = queue.Queue()
     sender = Sender(done.put, DIALECT)
     got: list[AttemptDone] = []
@@ -41,8 +41,8 @@
     return got, server.requests
 
 
-def test_the_instance_is_named_on_each_send_and_no_other_call_goes_before() -> None:
-    (done,), (request,) = tried([answer(200, "Attempt: c0\r\nSeal: s\r\n")])
+def test_the_instance_is_named_in_each_request_without_an_identity_request() -> None:
+    (done,), (request,) = attempts_with([answer(200, "Attempt: c0\r\nSeal: s\r\n")])
     assert (done.ran, done.body) == ("yes", b"done")
     head = request.decode().splitlines()
     assert head[0] == "POST /a%2Fb?c=d HTTP/1.1"
@@ -57,8 +57,8 @@
         (answer(421, ""), "unreached"),
     ],
 )
-def test_an_instance_that_did_not_run_it_says_so(reply: bytes, why: str) -> None:
-    (done,), _ = tried([reply])
+def test_a_not_run_answer_is_reported_as_not_run(reply: bytes, why: str) -> None:
+    (done,), _ = attempts_with([reply])
     assert done.ran == "no" and done.reason.startswith(why)
 
 
@@ -72,19 +72,19 @@
         answer(503, "Attempt: c9\r\nNot-Run: 1\r\n"),
     ],
 )
-def test_what_promises_or_succeeds_without_proof_may_have_run(reply: bytes) -> None:
-    (done,), _ = tried([reply])
+def test_an_unmarked_refusal_or_unsealed_success_may_have_run(reply: bytes) -> None:
+    (done,), _ = attempts_with([reply])
     assert done.ran == "maybe"
 
 
-def test_a_surplus_answer_is_not_the_next_ones() -> None:
-    """A second "not run" of an earlier call that comes late says nothing of the next call."""
+def test_a_surplus_answer_is_not_taken_for_the_next_call() -> None:
+    """A late second answer to an earlier call says nothing about the next call."""
     good = answer(200, "Attempt: c0\r\nSeal: s\r\n")
     for late in (answer(503, "Not-Run: 1\r\n"), answer(200, "Attempt: c0\r\nSeal: s\r\n")):
-        (first, second), _ = tried([good, late], 2)
+        (first, second), _ = attempts_with([good, late], 2)
         assert first.ran == "yes" and second.ran == "maybe"
 
 
-def test_an_instances_own_failure_is_its_answer() -> None:
-    (done,), _ = tried([answer(500, "Attempt: c0\r\n")])
+def test_an_error_answer_of_the_instance_counts_as_its_answer() -> None:
+    (done,), _ = attempts_with([answer(500, "Attempt: c0\r\n")])
     assert (done.ran, done.status) == ("yes", 500)
--- a/tests/test_silent_holders.py
+++ b/tests/test_silent_holders.py
@@ -1,4 +1,4 @@
-"""A holder that goes dark without resetting its connections: others notice, and go round it."""
+"""A holder that becomes unreachable without resetting its connections is detected and avoided."""
 
 from __future__ import annotations
 
@@ -31,9 +31,9 @@
 
 
 @pytest.mark.parametrize("how", ["frozen", "dark"])
-def test_calls_go_round_a_holder_that_went_dark(how: str) -> None:
-    """Neither a freeze nor a cut resets anything. Calls that come half a second later must not
-    wait for it; the placement role notices it only after 2.5 s."""
+def test_calls_avoid_an_unreachable_holder(how: str) -> None:
+    """Neither a freeze nor a network cut resets connections. Calls that arrive half a second later
+    must not wait for the holder; the placement role notices it only after 2.5 s."""
     sim = Sim(11, exchanges=5)
     sim.settle()
     sim.traffic(60, 30_000, ("/readings",))
@@ -62,8 +62,8 @@
     sim.close()
 
 
-def known(*took_ms: int) -> SilentHolders:
-    """What an entry knows of ex2 after questions that took so long, the last at 900 ms."""
+def silence_after(*took_ms: int) -> SilentHolders:
+    """The state after ex2 answered pings in these times, the last at 900 ms."""
     silence = SilentHolders()
     for each in took_ms:
         first = silence.first_ping_ms.set("ex2", 900 - each)
@@ -73,10 +73,10 @@
 
 @pytest.mark.parametrize(
     ("before", "silent_ms"),
-    [(SilentHolders(), MAX_TIMEOUT_MS), (known(5, 5, 5), MIN_TIMEOUT_MS)],
-    ids=["never heard", "heard over a short way"],
+    [(SilentHolders(), MAX_TIMEOUT_MS), (silence_after(5, 5, 5), MIN_TIMEOUT_MS)],
+    ids=["never heard", "short round trips"],
 )
-def test_a_holder_is_asked_before_it_counts_as_silent(
+def test_a_holder_is_pinged_before_it_counts_as_silent(
     before: SilentHolders, silent_ms: int
 ) -> None:
     call = call_to("ex2", sent_ms=Ms(1_000), slot=SlotId(1, 1))
@@ -87,8 +87,8 @@
     heard = silence.with_message("ex2", 1_000 + PING_AFTER_MS + 3)
     late_ms = Ms(1_000 + PING_AFTER_MS + silent_ms)
     assert check_holders(heard, (call,), "ex1", late_ms)[2] == ()
-    woken = silence.with_timers_restarted(late_ms)
-    assert check_holders(woken, (call,), "ex1", late_ms)[2] == ()
+    restarted = silence.with_timers_restarted(late_ms)
+    assert check_holders(restarted, (call,), "ex1", late_ms)[2] == ()
     assert check_holders(silence, (call,), "ex1", Ms(late_ms - 1))[2] == ()
     silence, ask, silent = check_holders(silence, (call,), "ex1", late_ms)
     assert silent == ("ex2",)
@@ -101,28 +101,28 @@
     )
 
 
-def test_a_holder_that_answers_slowly_is_waited_for_as_long_as_it_was_seen_to_take() -> None:
-    """TCP's timer: mean and four mean deviations, within the bounds; fast again once it is fast."""
-    slow = known(*[150, 350] * 6)
+def test_the_timeout_of_a_slow_holder_follows_its_round_trips() -> None:
+    """As TCP's timer: mean plus four mean deviations, within bounds; it shrinks again later."""
+    slow = silence_after(*[150, 350] * 6)
     assert 400 < slow.timeout_ms("ex2") < MAX_TIMEOUT_MS
-    assert known(*[150, 350] * 6, *[5] * 30).timeout_ms("ex2") == MIN_TIMEOUT_MS
-    assert known(700, 900, 900).timeout_ms("ex2") == MAX_TIMEOUT_MS
+    assert silence_after(*[150, 350] * 6, *[5] * 30).timeout_ms("ex2") == MIN_TIMEOUT_MS
+    assert silence_after(700, 900, 900).timeout_ms("ex2") == MAX_TIMEOUT_MS
 
 
-def test_an_outage_says_nothing_of_the_way() -> None:
-    assert known(5, 5, 5, MAX_TIMEOUT_MS + 1).timeout_ms("ex2") == MIN_TIMEOUT_MS
+def test_an_outage_is_no_round_trip_sample() -> None:
+    assert silence_after(5, 5, 5, MAX_TIMEOUT_MS + 1).timeout_ms("ex2") == MIN_TIMEOUT_MS
 
 
-def test_one_that_was_never_measured_is_judged_by_the_others() -> None:
-    silence = known(*[150, 350] * 6).with_message("ex3", 950)
+def test_a_holder_without_samples_has_the_timeout_of_the_others() -> None:
+    silence = silence_after(*[150, 350] * 6).with_message("ex3", 950)
     assert silence.timeout_ms("ex3") > MIN_TIMEOUT_MS
 
 
-def test_time_in_which_this_process_was_busy_counts_against_nobody() -> None:
+def test_time_in_which_this_process_was_busy_extends_timeouts() -> None:
     call = call_to("ex2", sent_ms=Ms(1_000), slot=SlotId(1, 1))
     state = replace(
         put(State(NodeId("ex1"), 1, Budget(Ms(0), 0.2, 9.0, 3, 10_000)), call),
-        silence=known(5, 5, 5),
+        silence=silence_after(5, 5, 5),
     )
     state, _ = step(state, Tick(20), Ms(1_000 + PING_AFTER_MS))
     late_ms = 1_000 + PING_AFTER_MS + MIN_TIMEOUT_MS
--- a/tests/test_slab_model.py
+++ b/tests/test_slab_model.py
@@ -1,4 +1,5 @@
-"""A slot's waiter gets the answer to its own request or none, however late the others come."""
+"""Model test of slots: a waiter gets the answer to its own request or none, however late other
+answers arrive."""
 
 from __future__ import annotations
 
@@ -17,12 +18,12 @@
 WHICH = st.integers(0, 30)
 
 
-def own(slot: SlotId) -> Answer:
+def answer_of(slot: SlotId) -> Answer:
     return Answer(200, (), f"{slot.index}/{slot.generation}".encode())
 
 
 class Waiters(RuleBasedStateMachine):
-    """Takes, answers and frees slots of both kinds alike, and checks what comes out."""
+    """Takes, answers and frees slots of both implementations, and checks the answers."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -42,13 +43,13 @@
     @precondition(lambda self: self.taken)
     @rule(which=WHICH)
     def answer(self, which: int) -> None:
-        """To any request that ever was, as often as it likes."""
+        """Answer any request so far, also repeatedly."""
         slot, other = self.taken[which % len(self.taken)]
-        self.slots.answer(slot, own(slot))
-        self.slab.answer(other, own(other))
+        self.slots.answer(slot, answer_of(slot))
+        self.slab.answer(other, answer_of(other))
         while self.slots.answered:
             whose, answer = self.slots.answered.popleft()
-            assert answer == own(whose), "another's answer"
+            assert answer == answer_of(whose), "another's answer"
             assert whose not in self.told, "answered twice"
             assert whose in [s for s, _ in self.waiting], "an answer nobody waits for"
             self.told.add(whose)
@@ -56,15 +57,15 @@
     @precondition(lambda self: self.taken)
     @rule(which=WHICH)
     def look(self, which: int) -> None:
-        """Also by a thread that gave its slot back."""
+        """Wait for any request, also from a thread that has freed its slot."""
         _, other = self.taken[which % len(self.taken)]
         got = self.slab.wait(other, 0.0)
-        assert got in (None, own(other)), "another's answer"
+        assert got in (None, answer_of(other)), "another's answer"
 
     @precondition(lambda self: self.taken)
     @rule(which=WHICH)
     def free(self, which: int) -> None:
-        """Also twice, and once it is somebody else's."""
+        """Free any slot, also twice or after it was taken again."""
         slot, other = self.taken[which % len(self.taken)]
         self.slots.free(slot)
         self.slab.free(other)
@@ -72,7 +73,7 @@
             self.waiting.remove((slot, other))
 
 
-def shuffled(examples: int) -> None:
+def run_model(examples: int) -> None:
     run_state_machine_as_test(
         Waiters,
         settings=settings(
@@ -83,7 +84,7 @@
 
 
 def test_a_waiter_gets_its_own_answer_or_none() -> None:
-    shuffled(200)
+    run_model(200)
 
 
 def slots_by_index(patch: pytest.MonkeyPatch) -> None:
@@ -115,9 +116,9 @@
 
 
 @pytest.mark.parametrize(
-    "plant", [slots_by_index, slots_freed_by_index, slab_by_index, slab_waits_by_index]
+    "fault", [slots_by_index, slots_freed_by_index, slab_by_index, slab_waits_by_index]
 )
-def test_a_missing_generation_is_found(plant: Any, monkeypatch: pytest.MonkeyPatch) -> None:
-    plant(monkeypatch)
+def test_a_missing_generation_check_is_found(fault: Any, monkeypatch: pytest.MonkeyPatch) -> None:
+    fault(monkeypatch)
     with pytest.raises(AssertionError):
-        shuffled(300)
+        run_model(300)
