--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -10,8 +10,8 @@
 from spokeroute.common.histogram import BOUNDS_MS, Histogram
 from spokeroute.common.ids import Incarnation, InstanceId, Ms, NodeId, WorkerId
 from spokeroute.common.replacing import replace
-from spokeroute.dispatch.placement.placing import State as Placing
-from spokeroute.dispatch.placement.placing import outcomes_by
+from spokeroute.dispatch.placement.state import State as Placing
+from spokeroute.dispatch.placement.state import with_outcomes
 from spokeroute.dispatch.scaling.start_steps import StartStep, StartSteps
 from spokeroute.exchange.outcomes import (
     MAX_NAME_CHARS,
@@ -140,11 +140,11 @@
 def test_the_placement_member_sums_outcomes_and_writes_them_to_the_ledger() -> None:
     reported = OutcomesTold(3, (OutcomeRow("s", "late", "waited_for_boot", 2),))
     state = Placing(NodeId("m1"), term=4)
-    state, effects = outcomes_by(state, NodeId("ex1"), reported)
-    state, _ = outcomes_by(state, NodeId("ex2"), reported)
+    state, effects = with_outcomes(state, NodeId("ex1"), reported)
+    state, _ = with_outcomes(state, NodeId("ex2"), reported)
     assert state.outcomes["s", "late", "waited_for_boot"] == 4
     assert len(effects) == 1
-    assert outcomes_by(replace(state, term=0), NodeId("ex1"), reported)[1] == ()
+    assert with_outcomes(replace(state, term=0), NodeId("ex1"), reported)[1] == ()
 
 
 def test_a_log_line_is_parsed_and_garbage_is_not() -> None:
