--- a/spokeroute/exchange/rank.py
+++ b/spokeroute/exchange/rank.py
@@ -1,7 +1,7 @@
 """How urgent a call is: its tenant's priority first, then its route's; 0 is the most urgent.
 
-Ranks decide whose turn it is in a holder's queue (``held_instance.in_turn``), not who may join it:
-in a crowd urgent calls wait less, and are not more.
+Ranks decide whose turn it is in a holder's queue (``held_instance.dispatch_order``), not who may
+join it: in a crowd urgent calls wait less, and are not more.
 """
 
 from __future__ import annotations
