--- a/spokeroute/dispatch/flare/list_push.py
+++ b/spokeroute/dispatch/flare/list_push.py
@@ -1,5 +1,5 @@
-"""The push of LAAF's lists to the exchanges: what changed since the last push, and whole lists for
-who has not got those."""
+"""Pushes LAAF's lists to the exchanges: changes since the last push, or full lists to exchanges
+that did not get the last push."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 from spokeroute.dispatch.flare.algorithms import Ranking
 from spokeroute.transport.list_messages import Lists, Successors
 
-WHOLE = -1
+FULL_BASE = -1
 
 
 @dataclass(frozen=True, slots=True)
 class LastPush:
-    """What was pushed last, and to which lives of exchanges."""
+    """The content of the last push, and the exchange incarnations it was sent to."""
 
     term: int = 0
     sequence: int = -1
     rankings: tuple[Ranking, ...] = ()
-    told: Map[str, int] = field(default_factory=Map)  # exchange -> its incarnation
+    sent_to: Map[str, int] = field(default_factory=Map)  # exchange -> its incarnation
 
 
 @dataclass(frozen=True, slots=True)
 class ListsHeader:
-    """What each push names besides the lists."""
+    """The fields of a push besides the lists."""
 
     term: int
     sequence: int
@@ -37,17 +37,17 @@
 
 
 def full_lists(head: ListsHeader, rankings: tuple[Ranking, ...]) -> Lists:
-    """Lists that stand for themselves.
+    """All lists, independent of any earlier push.
 
     Example:
         >>> full_lists(ListsHeader(1, 1, 1, 3), ()).base
         -1
     """
-    return _lists(head, {_key(r): r.instances for r in rankings if r.instances}, WHOLE)
+    return _lists(head, {_key(r): r.instances for r in rankings if r.instances}, FULL_BASE)
 
 
 def changed_lists(head: ListsHeader, pushed: LastPush, rankings: tuple[Ranking, ...]) -> Lists:
-    """The lists that differ from those of the last push; an empty one is gone.
+    """The lists that differ from the last push; an empty list removes the entry.
 
     Example:
         >>> changed_lists(ListsHeader(1, 2, 1, 3), LastPush(1, 1), ()).base
@@ -66,23 +66,23 @@
     rankings: tuple[Ranking, ...],
     holders: Mapping[NodeId, Incarnation],
 ) -> tuple[LastPush, list[Effect]]:
-    """One push to every exchange: one message for all that were told last, another for the rest.
+    """Push to every exchange: the changes to those that got the last push, else full lists.
 
     Example:
         pushed, effects = push(head, pushed, rankings, live_holders(reports, now_ms))
     """
-    goes_on = pushed.term == head.term
-    news = changed_lists(head, pushed, rankings) if goes_on else None
-    whole: Lists | None = None
+    same_term = pushed.term == head.term
+    changes = changed_lists(head, pushed, rankings) if same_term else None
+    full: Lists | None = None
     effects: list[Effect] = []
     for node in sorted(holders):
-        if news is not None and pushed.told.get(node) == holders[node]:
-            effects.append(Send(node, news))
+        if changes is not None and pushed.sent_to.get(node) == holders[node]:
+            effects.append(Send(node, changes))
             continue
-        whole = whole or full_lists(head, rankings)
-        effects.append(Send(node, whole))
-    told = Map({str(node): int(incarnation) for node, incarnation in holders.items()})
-    return LastPush(head.term, head.sequence, rankings, told), effects
+        full = full or full_lists(head, rankings)
+        effects.append(Send(node, full))
+    sent_to = Map({str(node): int(incarnation) for node, incarnation in holders.items()})
+    return LastPush(head.term, head.sequence, rankings, sent_to), effects
 
 
 def _key(ranking: Ranking) -> tuple[str, str]:
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -21,7 +21,7 @@
     read_configuration,
 )
 from spokeroute.dispatch.configuration.validation import check_regions
-from spokeroute.dispatch.placement.table import Mark, pack_evacuated, unpack_evacuated
+from spokeroute.dispatch.placement.table import EvacuationChange, pack_evacuated, unpack_evacuated
 from spokeroute.http.wsgi import respond, serve
 from spokeroute.register.numbers import MAX_NUMBER
 from spokeroute.register.stamps import (
@@ -37,7 +37,7 @@
 from tests.sim.acts import after
 from tests.sim.cluster import Sim
 from tests.test_adapter import adapter, document
-from tests.test_edge import Scripted
+from tests.test_edge import ScriptedServer
 from tests.test_numbers import in_force, named, ready, sent, wait
 from tools.judges import judge
 
@@ -137,11 +137,11 @@
         assert wait(sim, sim.evacuate("north", out)).doc["evacuated"] == evacuated
 
 
-def test_a_retried_evacuation_mark_is_applied_once() -> None:
+def test_a_retried_evacuation_change_is_applied_once() -> None:
     """The round was overtaken and is retried; a restore may have come in between."""
-    mark = Mark("north", True, (), "e-1")
+    mark = EvacuationChange("north", True, (), "e-1")
     value = mark.decide(0, b"") or b""
-    value = Mark("north", False, (), "r-1").decide(1, value) or b""
+    value = EvacuationChange("north", False, (), "r-1").decide(1, value) or b""
     assert unpack_evacuated(value) == frozenset() and mark.decide(2, value) is None
 
 
@@ -159,7 +159,7 @@
 
 @pytest.mark.parametrize("lost", [b"", b"HTTP/1.1 200 OK\r\nContent-Le", said(503), said(504)])
 def test_the_client_sends_an_order_again_to_another_registry(lost: bytes) -> None:
-    first, second = Scripted([lost]), Scripted([said(200, b'{"version": 3}')])
+    first, second = ScriptedServer([lost]), ScriptedServer([said(200, b'{"version": 3}')])
     where = Where(f"{first.address},{second.address}")
     got = ask(where, "PUT", "/x", b"{}", {"Spokeroute-Apply-Id": "a-1"}, until_clear=True)
     assert isinstance(got, Said) and got.doc() == {"version": 3}
@@ -168,13 +168,13 @@
 
 
 def test_the_client_does_not_report_a_refusal_after_a_lost_answer() -> None:
-    first, second = Scripted([b""]), Scripted([said(503)])
+    first, second = ScriptedServer([b""]), ScriptedServer([said(503)])
     got = ask(Where(f"{first.address},{second.address}"), "PUT", "/x", b"{}", until_clear=True)
     assert isinstance(got, Unreached) and "may have been taken" in got.reason
 
 
 def test_the_client_s_refusal_is_final() -> None:
-    first = Scripted([said(409)])
+    first = ScriptedServer([said(409)])
     got = ask(Where(f"{first.address},127.0.0.1:1"), "PUT", "/x", b"{}", until_clear=True)
     assert isinstance(got, Said) and got.status == 409
 
--- a/tests/test_platform_executor.py
+++ b/tests/test_platform_executor.py
@@ -16,9 +16,9 @@
     PlatformDone,
     PlatformListed,
 )
-from spokeroute.exchange.connect import Connect, ConnectDone, Connector, connect
+from spokeroute.exchange.connect import ConnectDone, ConnectJob, Connector, connect
 from spokeroute.registry.platform_executor import HttpPlatform, PlatformExecutor
-from tests.test_edge import Scripted
+from tests.test_edge import ScriptedServer
 
 
 def job(op: str, identity: str = "", good_for_ms: int = 5_000) -> PlatformCall:
@@ -60,7 +60,7 @@
     ("status", "outcome"), [(202, "ok"), (429, "refused"), (409, "failed"), (500, "failed")]
 )
 def test_the_http_contract_names_instances_by_our_id(status: int, outcome: str) -> None:
-    server = Scripted([f"HTTP/1.1 {status} X\r\nContent-Length: 0\r\n\r\n".encode()])
+    server = ScriptedServer([f"HTTP/1.1 {status} X\r\nContent-Length: 0\r\n\r\n".encode()])
     done = HttpPlatform(server.address).call(job("start"))
     assert done.outcome == outcome
     assert done.identity == ("readings-1-2-1" if outcome == "ok" else "")
@@ -68,7 +68,7 @@
 
 def test_a_stop_uses_the_identity_or_else_our_id() -> None:
     for identity, path in (("i-7", b"/instances/i-7 "), ("", b"/instances/readings-1-2-1 ")):
-        server = Scripted([b"HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n"])
+        server = ScriptedServer([b"HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n"])
         assert HttpPlatform(server.address).call(job("stop", identity)).outcome == "ok"
         assert path in server.requests[0]
 
@@ -77,9 +77,9 @@
     server = socket.create_server(("127.0.0.1", 0))
     address = Address(f"127.0.0.1:{server.getsockname()[1]}")
     got: queue.Queue[ConnectDone] = queue.Queue()
-    Connector(got.put).launch(Connect(InstanceId("a"), address, 1_000))
+    Connector(got.put).launch(ConnectJob(InstanceId("a"), address, 1_000))
     assert got.get(timeout=10) == ConnectDone(InstanceId("a"), address, True)
     server.close()
-    assert connect(Connect(InstanceId("a"), address, 1_000)).refused
-    nowhere = Connect(InstanceId("a"), Address("no address"), 1_000)
+    assert connect(ConnectJob(InstanceId("a"), address, 1_000)).refused
+    nowhere = ConnectJob(InstanceId("a"), Address("no address"), 1_000)
     assert connect(nowhere) == ConnectDone(InstanceId("a"), nowhere.address, False)
