--- a/spokeroute/register/acceptor/expiry.py
+++ b/spokeroute/register/acceptor/expiry.py
@@ -14,7 +14,7 @@
 
 
 def expire(
-    names: Iterable[str], born: Map[str, Ms], in_force: int, now_ms: Ms
+    names: Iterable[str], first_seen_ms: Map[str, Ms], in_force: int, now_ms: Ms
 ) -> tuple[Map[str, Ms], tuple[str, ...]]:
     """Return when each expiring register was first seen, and the names that expire now.
 
@@ -24,22 +24,22 @@
         >>> expire(["claim/k1"], Map({"claim/k1": Ms(0)}), 0, Ms(CLAIM_RETENTION_MS + 1))[1]
         ('claim/k1',)
     """
-    met = born.mutate()
+    first_seen = first_seen_ms.mutate()
     numbers: list[str] = []
-    drops: list[str] = []
+    expired: list[str] = []
     for name in names:
         if not name.startswith(EXPIRING_PREFIXES):
             continue
-        since_ms = met.get(name, now_ms)
-        if name not in met:
-            met[name] = now_ms
+        since_ms = first_seen.get(name, now_ms)
+        if name not in first_seen:
+            first_seen[name] = now_ms
         if name.startswith(NUMBER_PREFIX):
             numbers.append(name)
         elif now_ms - since_ms > CLAIM_RETENTION_MS:
-            drops.append(name)
-    known = met.finish()
-    drops.extend(outdated(tuple(numbers), in_force, known, now_ms))
+            expired.append(name)
+    known = first_seen.finish()
+    expired.extend(outdated(tuple(numbers), in_force, known, now_ms))
     kept = known.mutate()
-    for name in drops:
+    for name in expired:
         del kept[name]
-    return kept.finish(), tuple(drops)
+    return kept.finish(), tuple(expired)
--- a/spokeroute/register/disk/loaded.py
+++ b/spokeroute/register/disk/loaded.py
@@ -25,9 +25,9 @@
     votes: bool
     cells: Map[str, Cell]
     start_count: int = 1
-    first_seen_ms: Map[str, int] = Map()  # claims: at which running time of this disk they came
-    total_uptime_ms: int = 0  # how long this disk's processes ran, all lives together
-    copy_progress: Map[str, str] = Map()  # while it joins: old members, and up to which name
+    first_seen_ms: Map[str, int] = Map()  # claims, in cumulative uptime
+    total_uptime_ms: int = 0  # of this disk's processes, summed over restarts
+    copy_progress: Map[str, str] = Map()  # while joining: old member -> last name copied
 
 
 def read_first_seen(txn: Any, meta: Any) -> Map[str, int]:
--- a/spokeroute/register/proposer/rounds.py
+++ b/spokeroute/register/proposer/rounds.py
@@ -56,9 +56,7 @@
     counters_seen: Map[str, int] = field(default_factory=Map)
     counter_floor: int = 0  # counters up to this one are never used again, in any register
     incarnation: int = 0  # answers to an earlier incarnation are ignored
-    contact_ms: Map[str, Ms] = field(
-        default_factory=Map
-    )  # last proof of contact in both directions
+    contact_ms: Map[str, Ms] = field(default_factory=Map)  # last contact in both directions
     hints: Map[str, Map[str, Copy]] = field(default_factory=Map)
     round_timeout_ms: int = ROUND_MS  # adapted to slow disks
     last_heard: Map[str, tuple[int, Ms]] = field(default_factory=Map)  # incarnation and time
--- a/spokeroute/registry/disk_executor.py
+++ b/spokeroute/registry/disk_executor.py
@@ -105,7 +105,7 @@
             self.report(actor, LedgerWritten(low, high, job.ack_to))
 
     def reopen(self, actor: str, job: ReopenStore) -> None:
-        """Have the store opened anew and read back.
+        """Queue a reopen of the store, which is then loaded again.
 
         Example:
             edge.reopen("acceptor", ReopenStore(0))
