--- a/spokeroute/dispatch/configuration/table_reader.py
+++ b/spokeroute/dispatch/configuration/table_reader.py
@@ -98,11 +98,11 @@
             reader.read(copy.version, copy.digest, value)
         """
         text = unpack(value, NUMBER.size).decode()
-        decided, found, _ = text.partition(DOCUMENT_FIELD)
-        routes, decided = _split_off_list(decided, "routes")
-        services, decided = _split_off_list(decided, "services")
-        tenants, decided = _split_off_list(decided, "tenants")
-        raw = json.loads(decided + "}" if found else decided)["configuration"]
+        without_document, found, _ = text.partition(DOCUMENT_FIELD)
+        routes, without_document = _split_off_list(without_document, "routes")
+        services, without_document = _split_off_list(without_document, "services")
+        tenants, without_document = _split_off_list(without_document, "tenants")
+        raw = json.loads(without_document + "}" if found else without_document)["configuration"]
         routes = routes or _json_rows(raw["routes"])
         services = services or _json_rows(raw["services"])
         self._routes = read_rows(routes, self._routes.read, _route_of)
--- a/spokeroute/dispatch/configuration/tenant_keys.py
+++ b/spokeroute/dispatch/configuration/tenant_keys.py
@@ -78,8 +78,8 @@
         found: dict[str, tuple[Entry, ...]] = {}
         for tenant in tenants:
             for digest in tenant.key_digests:
-                beginning = digest[:DIGEST_PREFIX_CHARS]
-                found[beginning] = (*found.get(beginning, ()), (digest, tenant))
+                prefix = digest[:DIGEST_PREFIX_CHARS]
+                found[prefix] = (*found.get(prefix, ()), (digest, tenant))
         return cls(found)
 
     def tenant(self, credential: str) -> Tenant | None:
--- a/spokeroute/dispatch/flare/list_push.py
+++ b/spokeroute/dispatch/flare/list_push.py
@@ -36,17 +36,19 @@
     exchanges: int
 
 
-def full_lists(head: ListsHeader, rankings: tuple[Ranking, ...]) -> Lists:
+def full_lists(header: ListsHeader, rankings: tuple[Ranking, ...]) -> Lists:
     """All lists, independent of any earlier push.
 
     Example:
         >>> full_lists(ListsHeader(1, 1, 1, 3), ()).base
         -1
     """
-    return _lists(head, {_key(r): r.instances for r in rankings if r.instances}, FULL_BASE)
+    return _lists_message(
+        header, {_key(r): r.instances for r in rankings if r.instances}, FULL_BASE
+    )
 
 
-def changed_lists(head: ListsHeader, pushed: LastPush, rankings: tuple[Ranking, ...]) -> Lists:
+def changed_lists(header: ListsHeader, pushed: LastPush, rankings: tuple[Ranking, ...]) -> Lists:
     """The lists that differ from the last push; an empty list removes the entry.
 
     Example:
@@ -57,11 +59,11 @@
     after = {_key(r): r.instances for r in rankings if r.instances}
     changed = {key: found for key, found in after.items() if before.get(key) != found}
     gone: dict[tuple[str, str], tuple[str, ...]] = {key: () for key in before if key not in after}
-    return _lists(head, changed | gone, pushed.sequence)
+    return _lists_message(header, changed | gone, pushed.sequence)
 
 
 def push(
-    head: ListsHeader,
+    header: ListsHeader,
     pushed: LastPush,
     rankings: tuple[Ranking, ...],
     holders: Mapping[NodeId, Incarnation],
@@ -71,27 +73,35 @@
     Example:
         pushed, effects = push(head, pushed, rankings, live_holders(reports, now_ms))
     """
-    same_term = pushed.term == head.term
-    changes = changed_lists(head, pushed, rankings) if same_term else None
+    same_term = pushed.term == header.term
+    changes = changed_lists(header, pushed, rankings) if same_term else None
     full: Lists | None = None
     effects: list[Effect] = []
     for node in sorted(holders):
         if changes is not None and pushed.sent_to.get(node) == holders[node]:
             effects.append(Send(node, changes))
             continue
-        full = full or full_lists(head, rankings)
+        full = full or full_lists(header, rankings)
         effects.append(Send(node, full))
     sent_to = Map({str(node): int(incarnation) for node, incarnation in holders.items()})
-    return LastPush(head.term, head.sequence, rankings, sent_to), effects
+    return LastPush(header.term, header.sequence, rankings, sent_to), effects
 
 
 def _key(ranking: Ranking) -> tuple[str, str]:
     return ranking.service, ranking.worker
 
 
-def _lists(head: ListsHeader, found: Mapping[tuple[str, str], tuple[str, ...]], base: int) -> Lists:
+def _lists_message(
+    header: ListsHeader, found: Mapping[tuple[str, str], tuple[str, ...]], base: int
+) -> Lists:
     successors = tuple(Successors(service, worker, found[service, worker])
                        for service, worker in found)  # fmt: skip
     return Lists(
-        head.term, head.sequence, head.configuration_version, 0, successors, head.exchanges, base
+        header.term,
+        header.sequence,
+        header.configuration_version,
+        0,
+        successors,
+        header.exchanges,
+        base,
     )
--- a/spokeroute/dispatch/flare/ranking.py
+++ b/spokeroute/dispatch/flare/ranking.py
@@ -100,8 +100,8 @@
     """
     if not state.term or state.pushed.term != state.term:
         return state, ()
-    head = replace(_lists_header(state, now_ms), sequence=state.pushed.sequence)
-    return state, (Send(node, full_lists(head, state.pushed.rankings)),)
+    header = replace(_lists_header(state, now_ms), sequence=state.pushed.sequence)
+    return state, (Send(node, full_lists(header, state.pushed.rankings)),)
 
 
 def _must_rerank(state: State, snapshot: LoadSnapshot, trigger_pct: float, now_ms: Ms) -> bool:
--- a/spokeroute/dispatch/placement/listing.py
+++ b/spokeroute/dispatch/placement/listing.py
@@ -18,7 +18,7 @@
 from spokeroute.dispatch.placement.platform import PlatformCall, PlatformListed
 from spokeroute.dispatch.placement.table import DRAINING, STARTING, UP, Placed, PlacementTable
 
-ORPHAN_MS = 10_000
+ORPHAN_MS = 10_000  # how long an instance is listed but unknown before it is stopped
 RATE_SHARE = 0.8  # headroom below the platform's rate: listings grow, members are replaced
 LAG_TOLERANCE_FACTOR = (
     2  # tolerated listing delay, in multiples of the lag that the platform states
--- a/spokeroute/dispatch/placement/state.py
+++ b/spokeroute/dispatch/placement/state.py
@@ -75,7 +75,7 @@
     versions: Map[str, int] = field(default_factory=Map)
     proved_ms: Ms = Ms(-(10**6))  # this node's newest proof
     next_plan_ms: Ms = Ms(0)
-    holder_words: Map[str, str] = field(default_factory=Map)  # by instance
+    holder_words: Map[str, str] = field(default_factory=Map)  # newest, by instance
     planned_ms: Ms = Ms(0)  # when the last pass ran
     tokens: float = 0.0
     tokens_ms: Ms = Ms(0)
@@ -108,11 +108,11 @@
     new = tuple(t for t in took if t.attempt_id not in state.recorded_attempts)
     if not new:
         return state, ()
-    known = (
+    recorded = (
         state.recorded_attempts if len(state.recorded_attempts) < MAX_RECORDED_ATTEMPTS else Map()
     )
     for each in new:
-        known = known.set(each.attempt_id, 1)
+        recorded = recorded.set(each.attempt_id, 1)
     records = [
         Record(
             "successor",
@@ -122,7 +122,9 @@
         )
         for t in new
     ]  # fmt: skip
-    return replace(state, recorded_attempts=known), tuple(ledger_entry(state, r) for r in records)
+    return replace(state, recorded_attempts=recorded), tuple(
+        ledger_entry(state, r) for r in records
+    )
 
 
 def with_outcomes(state: State, node: NodeId, batch: OutcomesTold) -> tuple[State, Effects]:
@@ -248,8 +250,8 @@
         if placed.service in capacity and placed.state in (STARTING, UP):
             capacity[placed.service] += placed.limit if placed.zone not in state.evacuated else 0
     demanded = dict.fromkeys(waiting_services, 0)
-    for known in state.reports.values():
-        for d in known.demand:
+    for recorded in state.reports.values():
+        for d in recorded.demand:
             if d.service in demanded:
                 demanded[d.service] += d.waiting + d.in_flight
     return any(demanded[name] > capacity[name] for name in waiting_services)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,5 +1,6 @@
 """Failures of whole groups of machines at full deployment size: nine exchanges, three registries,
-four busy and 75 small services on six workers, and about 150 calls a second."""
+four busy and 75 small services on six workers, about 150 calls a second, in
+both sample deployments."""
 
 from __future__ import annotations
 
