--- a/tests/test_own_names.py
+++ b/tests/test_own_names.py
@@ -26,9 +26,9 @@
     pack_placement_table,
 )
 from spokeroute.exchange import holder
-from spokeroute.exchange.connect import Connect, ConnectDone
+from spokeroute.exchange.connect import ConnectDone, ConnectJob
 from spokeroute.exchange.entry import HeldNow
-from spokeroute.exchange.held_instance import CONNECT_WAIT_MS
+from spokeroute.exchange.held_instance import CONNECT_TIMEOUT_MS
 from spokeroute.exchange.types import SendAttempt
 from spokeroute.register.replica.replica import Fresh
 from spokeroute.transport.call_messages import (
@@ -187,7 +187,7 @@
         assert effects == ()
     state, effects = holder.step(state, Tick(), Ms(now_ms + 20))
     (job,) = [e.job for e in effects if isinstance(e, Launch)]
-    assert job == Connect(booting.id, booting.address, CONNECT_WAIT_MS)
+    assert job == ConnectJob(booting.id, booting.address, CONNECT_TIMEOUT_MS)
     refused = ConnectDone(booting.id, booting.address, False, True)
     state, _ = holder.step(state, refused, Ms(now_ms + 21))
     state, effects = holder.step(state, Tick(), Ms(now_ms + 300))
