--- a/spokeroute/dispatch/configuration/table_reader.py
+++ b/spokeroute/dispatch/configuration/table_reader.py
@@ -25,8 +25,8 @@
 )
 from spokeroute.dispatch.configuration.route_table import HostRoutes, Table
 from spokeroute.dispatch.configuration.tenant_keys import TenantKeys
-from spokeroute.register.packed import unpack
-from spokeroute.register.stamps import NUMBER
+from spokeroute.register.packing import unpack
+from spokeroute.register.value_metadata import NUMBER
 
 LIST_BEGINS, LIST_ENDS = "[\n", "\n]"
 DOCUMENT = f',"document":{LIST_BEGINS}'  # what an adapter was sent: nothing is decided by it
--- a/spokeroute/dispatch/configuration/value.py
+++ b/spokeroute/dispatch/configuration/value.py
@@ -9,8 +9,8 @@
 from typing import Any
 
 from spokeroute.dispatch.configuration.models import Configuration
-from spokeroute.register.packed import pack, unpack
-from spokeroute.register.stamps import NUMBER, number_of
+from spokeroute.register.packing import pack, unpack
+from spokeroute.register.value_metadata import NUMBER, number_of
 
 CHUNK_END = re.compile(r"(?<=\},)")
 
--- a/spokeroute/dispatch/placement/placing.py
+++ b/spokeroute/dispatch/placement/placing.py
@@ -31,7 +31,7 @@
 from spokeroute.dispatch.scaling.scaler import Demand, WorkerSeat
 from spokeroute.dispatch.scaling.start_steps import StartSteps
 from spokeroute.ledger.entries import Record
-from spokeroute.register.replica.replica import Fresh
+from spokeroute.register.replica.replica import FreshCopies
 from spokeroute.transport.messages import HeldWord, Probe, Took
 from spokeroute.transport.outcome_messages import OutcomesTold
 
@@ -175,7 +175,7 @@
     )
 
 
-def refreshed(state: State, fresh: Fresh) -> State:
+def refreshed(state: State, fresh: FreshCopies) -> State:
     """Take newly proved copies in; the floor only where another writes it.
 
     Example:
--- a/spokeroute/register/acceptor/ageing.py
+++ b/spokeroute/register/acceptor/ageing.py
@@ -7,7 +7,7 @@
 from immutables import Map
 
 from spokeroute.common.ids import CLAIM_PREFIX, NUMBER_PREFIX, Ms
-from spokeroute.register.numbers import outdated
+from spokeroute.register.configuration_numbers import prunable_numbers
 
 CLAIM_KEEP_MS = 900_000
 AGEING = (CLAIM_PREFIX, NUMBER_PREFIX)
@@ -38,7 +38,7 @@
         elif now_ms - since_ms > CLAIM_KEEP_MS:
             drops.append(name)
     known = met.finish()
-    drops.extend(outdated(tuple(numbers), in_force, known, now_ms))
+    drops.extend(prunable_numbers(tuple(numbers), in_force, known, now_ms))
     kept = known.mutate()
     for name in drops:
         del kept[name]
--- a/spokeroute/register/acceptor/probed.py
+++ b/spokeroute/register/acceptor/probed.py
@@ -9,7 +9,7 @@
 from spokeroute.common.ids import SPREAD, NodeId
 from spokeroute.register.cells import EMPTY
 from spokeroute.register.patches import make_patch
-from spokeroute.register.replica.named_copies import absent_fingerprint, unlike
+from spokeroute.register.replica.copy_fingerprints import absent_fingerprint, without_known_copies
 from spokeroute.transport.messages import Copy, FetchAsk, FetchGot, Probe, ProbeAck, ValuePatch
 
 if TYPE_CHECKING:
@@ -27,7 +27,7 @@
     roster, synced = state.synced_roster, state.synced
     if roster is None or not state.synced_votes:
         return ()
-    copies = tuple(synced.get(name, EMPTY).named_by(state.me, name) for name in SPREAD)
+    copies = tuple(synced.get(name, EMPTY).probe_copy(state.me, name) for name in SPREAD)
     values: list[FetchGot] = []
     patches: list[ValuePatch] = []
     for copy in copies if probe.values else ():
@@ -39,7 +39,7 @@
             patches.append(patch)
         elif len(value) <= INLINE_BYTES:
             values.append(FetchGot(copy, value))
-    told = unlike(probe.named, copies)
+    told = without_known_copies(probe.named, copies)
     same = bool(state.absent) and probe.absent == absent_fingerprint(state.absent)
     absent = () if same else state.absent
     ack = ProbeAck(
--- a/spokeroute/register/anti_entropy/anti_entropy.py
+++ b/spokeroute/register/anti_entropy/anti_entropy.py
@@ -17,8 +17,13 @@
 from spokeroute.common.effects import Effect, Effects, From, Note, Send, Tell, Tick
 from spokeroute.common.ids import NO_BALLOT, Ms, NodeId
 from spokeroute.common.replacing import replace
-from spokeroute.register.anti_entropy.cell_index import CatchUp, Synced, bucket_of, index_of
-from spokeroute.register.anti_entropy.page import LEAST_PAGE_BYTES, MOST_PAGE_BYTES, page_of
+from spokeroute.register.anti_entropy.cell_index import (
+    CellsReloaded,
+    CellsSynced,
+    bucket_of,
+    index_of,
+)
+from spokeroute.register.anti_entropy.page import MAX_PAGE_BYTES, MIN_PAGE_BYTES, page_of
 from spokeroute.register.anti_entropy.state import Heard, Part, Transfer, all_due, others_of
 from spokeroute.register.anti_entropy.state import State as State
 from spokeroute.register.anti_entropy.state import start as start
@@ -41,10 +46,10 @@
 SYNC_MS = 2_000  # a page that is not on disk by then was refused in part
 RENEW_MS = 2_000
 REFUSED_MS = 1_000  # a round that is open brings its own accept by then
-MOST_RENEWED = 64  # in one transfer
+MAX_REWRITTEN = 64  # in one transfer
 TRIES = 3
 QUICK_MS, SLOW_MS = 60, 250  # a page that took less is followed by a larger one
-MOST_REST_MS = 500
+MAX_REST_MS = 500
 HELD_BYTES = 64  # what a register takes to be named in an ask, which is no larger than a page
 NOTHING = HeldCell("", 0, "")
 
@@ -56,11 +61,11 @@
         state, effects = step(state, Tick(), now_ms)
     """
     match event:
-        case Synced() as synced:
+        case CellsSynced() as synced:
             return _synced(state, synced, now_ms)
         case From(node, _, Heartbeat() as beat):
             return _heard(state, node, beat, now_ms), ()
-        case CatchUp(cells, roster, votes):
+        case CellsReloaded(cells, roster, votes):
             state = replace(state, cells=cells, index=index_of(cells), roster=roster, votes=votes)
             return replace(state, due=all_due(state), transfer=None, part=None), ()
         case From(node, _, DigestAsk(epoch, number, digests)) if _answers(state, epoch):
@@ -90,7 +95,7 @@
     return bool(transfer and transfer.waits and transfer.source == node and number == state.number)
 
 
-def _synced(state: State, synced: Synced, now_ms: Ms) -> tuple[State, Effects]:
+def _synced(state: State, synced: CellsSynced, now_ms: Ms) -> tuple[State, Effects]:
     joined = synced.votes and not state.votes
     moved = synced.roster is not None and synced.roster.epoch != state.epoch
     state = replace(
@@ -162,7 +167,7 @@
         return _go_on(state, now_ms)
     if now_ms - transfer.asked_ms < ANSWER_MS * transfer.tries:
         return state, ()
-    state = replace(state, page_bytes=max(LEAST_PAGE_BYTES, state.page_bytes // 2))
+    state = replace(state, page_bytes=max(MIN_PAGE_BYTES, state.page_bytes // 2))
     if transfer.tries >= TRIES:
         return replace(state, transfer=None, due=state.due.set(transfer.source, now_ms)), ()
     tries = transfer.tries + 1
@@ -198,7 +203,7 @@
         return state, ()
     state = replace(state, transfer=None, part=None)
     effects: list[Effect] = []
-    for name in behind[:MOST_RENEWED]:
+    for name in behind[:MAX_REWRITTEN]:
         op_id = f"renew/{state.me}/{state.number}/{name}"
         effects.append(Tell("proposer", Ask(op_id, name, Renew(), "", RENEW_MS)))
     if transfer.cells:
@@ -254,7 +259,7 @@
         effects.append(Send(state.me, HandOver(part.epoch, copy, value, piece.age_ms)))
     took_ms = now_ms - transfer.asked_ms
     left = tuple(b for b in transfer.buckets or () if b not in part.done)
-    rest_until_ms = Ms(now_ms + min(took_ms // 2, MOST_REST_MS))
+    rest_until_ms = Ms(now_ms + min(took_ms // 2, MAX_REST_MS))
     transfer = replace(transfer, buckets=left, waits=False, rest_until_ms=rest_until_ms)
     state = replace(state, transfer=transfer, page_bytes=_page_bytes(state.page_bytes, took_ms))
     state, more = _go_on(state, now_ms)
@@ -278,5 +283,5 @@
 def _page_bytes(page_bytes: int, took_ms: int) -> int:
     """Pages are as large as the link carries without holding up what is behind them."""
     if took_ms > SLOW_MS:
-        return max(LEAST_PAGE_BYTES, page_bytes // 2)
-    return min(MOST_PAGE_BYTES, page_bytes * 2) if took_ms < QUICK_MS else page_bytes
+        return max(MIN_PAGE_BYTES, page_bytes // 2)
+    return min(MAX_PAGE_BYTES, page_bytes * 2) if took_ms < QUICK_MS else page_bytes
--- a/spokeroute/register/anti_entropy/cell_index.py
+++ b/spokeroute/register/anti_entropy/cell_index.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Synced:
+class CellsSynced:
     """To anti-entropy: what is on disk now, and which registers changed there or were dropped."""
 
     names: tuple[str, ...]
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CatchUp:
+class CellsReloaded:
     """To anti-entropy: the store was opened anew, and holds this; something may be missing."""
 
     cells: Map[str, Cell]
--- a/spokeroute/register/anti_entropy/page.py
+++ b/spokeroute/register/anti_entropy/page.py
@@ -10,8 +10,8 @@
 from spokeroute.register.cells import Cell
 from spokeroute.transport.anti_entropy_messages import CellPiece, CellsAsk, CellsPart
 
-LEAST_PAGE_BYTES = 8 * 1024
-MOST_PAGE_BYTES = 128 * 1024
+MIN_PAGE_BYTES = 8 * 1024
+MAX_PAGE_BYTES = 128 * 1024
 PIECE_BYTES = 200  # what a piece takes besides its name and data
 CLAIM_HAND_MS = CLAIM_KEEP_MS - 60_000  # a claim about to be dropped is not handed on
 
@@ -27,7 +27,7 @@
     """
     held = {h.name: Ballot(h.counter, MemberId(h.member)) for h in ask.have}
     begun = Ballot(ask.part.counter, MemberId(ask.part.member))
-    room = min(max(ask.most_bytes, LEAST_PAGE_BYTES), MOST_PAGE_BYTES)
+    room = min(max(ask.most_bytes, MIN_PAGE_BYTES), MAX_PAGE_BYTES)
     pieces: list[CellPiece] = []
     done: list[int] = []
     for bucket in ask.buckets:
--- a/spokeroute/register/changes.py
+++ b/spokeroute/register/changes.py
@@ -83,7 +83,7 @@
     change: Change
     reply_to: str
     wait_ms: int = 3000
-    alone_ms: int = 0
+    no_majority_wait_ms: int = 0
 
 
 class Outcome(StrEnum):
--- a/spokeroute/register/numbers.py
+++ b/spokeroute/register/configuration_numbers.py
@@ -10,20 +10,20 @@
 from dataclasses import dataclass
 
 from spokeroute.common.ids import NUMBER_PREFIX, Ms, number_register
-from spokeroute.register.stamps import number_of, stamped
+from spokeroute.register.value_metadata import number_of, with_metadata
 
 MAX_NUMBER = 2**63 - 1
-NUMBERS_KEPT = 4_096
+MAX_KEPT_NUMBERS = 4_096
 NUMBER_KEEP_MS = 60_000
 """No number is let go this soon after a round was at it: longer than any round lasts."""
 
 
 @dataclass(frozen=True, slots=True)
-class Bind:
+class BindNumber:
     """Bind a number to a content, once for all.
 
     Example:
-        >>> Bind("c0ffee").decide(0, b"")
+        >>> BindNumber("c0ffee").decide(0, b"")
         b'c0ffee'
     """
 
@@ -33,7 +33,7 @@
         """The content's digest where the number has none yet.
 
         Example:
-            >>> Bind("c0ffee").decide(1, b"facade") is None
+            >>> BindNumber("c0ffee").decide(1, b"facade") is None
             True
         """
         return None if version else self.content.encode()
@@ -59,34 +59,34 @@
         """
         if number_of(self.value) <= number_of(value):
             return None
-        return stamped(self.value, value)
+        return with_metadata(self.value, value)
 
 
-def outdated(
+def prunable_numbers(
     names: tuple[str, ...], in_force: int, touched_ms: Mapping[str, Ms], now_ms: Ms
 ) -> tuple[str, ...]:
     """The number registers that a member may let go: neither among the newest, nor at or above
     the number in force, nor touched by a round of late.
 
     Example:
-        >>> outdated((), 70, {}, Ms(0))
+        >>> prunable_numbers((), 70, {}, Ms(0))
         ()
     """
-    if len(names) <= NUMBERS_KEPT:
+    if len(names) <= MAX_KEPT_NUMBERS:
         return ()
     least_kept = number_register(in_force)
     return tuple(
         name
-        for name in sorted(names)[:-NUMBERS_KEPT]
+        for name in sorted(names)[:-MAX_KEPT_NUMBERS]
         if name < least_kept and now_ms - touched_ms.get(name, now_ms) > NUMBER_KEEP_MS
     )
 
 
-def is_number(name: str) -> bool:
+def is_number_register(name: str) -> bool:
     """Whether a register is a number's.
 
     Example:
-        >>> is_number("claim/k1")
+        >>> is_number_register("claim/k1")
         False
     """
     return name.startswith(NUMBER_PREFIX)
--- a/spokeroute/register/membership/held.py
+++ b/spokeroute/register/membership/accepted_copies.py
@@ -15,11 +15,11 @@
 if TYPE_CHECKING:
     from spokeroute.register.acceptor.state import State
 
-HELD_PAGE_CELLS = 4_000
+PAGE_REGISTERS = 4_000
 
 
 @dataclass(frozen=True, slots=True)
-class HandTo:
+class HandOverCopy:
     """From the proposer: hand this chosen copy to a member that missed it."""
 
     member: NodeId
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HandNames:
+class HandOverRegisters:
     """To the acceptor: hand what this member has of these registers to a member that stays."""
 
     member: NodeId
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Quiet:
+class SuspendAccepts:
     """To the acceptor: whether this member, which is about to end, accepts nothing more."""
 
     quiet: bool
@@ -45,41 +45,41 @@
     """The acceptor's part in a handover: it tells, hands on, and stops accepting.
 
     Example:
-        state, effects = step(state, Quiet(True))
+        state, effects = step(state, SuspendAccepts(True))
     """
     match event:
         case From(node, _, HeldAsk() as ask):
             # Its own comparison counts what is on its way to the disk, too.
             cells = state.cells if node == state.me else state.synced
-            return state, (Send(node, held_page(cells, ask)),)
-        case HandTo(member, copy):
+            return state, (Send(node, ballots_page(cells, ask)),)
+        case HandOverCopy(member, copy):
             cell = state.synced.get(copy.name, EMPTY)
             if cell.accepted == ballot_of(copy):
                 return state, (Send(member, HandOver(state.epoch, copy, cell.value)),)
-        case HandNames() as asked:
-            return state, handed_on(state.synced, state.epoch, asked)
-        case Quiet(quiet):
+        case HandOverRegisters() as asked:
+            return state, handover_messages(state.synced, state.epoch, asked)
+        case SuspendAccepts(quiet):
             return replace(state, quiet=quiet), ()
     return state, ()
 
 
-def held_page(cells: Mapping[str, Cell], ask: HeldAsk) -> HeldPart:
+def ballots_page(cells: Mapping[str, Cell], ask: HeldAsk) -> HeldPart:
     """A page of accepted ballots.
 
     Example:
-        held_page({}, HeldAsk(1, "")).last == ""
+        ballots_page({}, HeldAsk(1, "")).last == ""
     """
     names = sorted(n for n in cells if n > ask.after)
-    page = names[:HELD_PAGE_CELLS]
+    page = names[:PAGE_REGISTERS]
     copies = tuple(replace(cells[name].copy(name), digest="") for name in page)
     return HeldPart(ask.nonce, ask.after, copies, page[-1] if len(names) > len(page) else "")
 
 
-def handed_on(cells: Mapping[str, Cell], epoch: int, asked: HandNames) -> Effects:
+def handover_messages(cells: Mapping[str, Cell], epoch: int, asked: HandOverRegisters) -> Effects:
     """The accepts of earlier rounds once more, to a member that missed them.
 
     Example:
-        handed_on({}, 1, HandNames(NodeId("m2"), ("floor",))) == ()
+        handover_messages({}, 1, HandOverRegisters(NodeId("m2"), ("floor",))) == ()
     """
     known = [(name, cells[name]) for name in asked.names if name in cells]
     return tuple(
--- a/spokeroute/register/membership/founding.py
+++ b/spokeroute/register/membership/bootstrap.py
@@ -19,7 +19,7 @@
         return None
     here = {
         node: sign
-        for node, sign in state.signs.items()
+        for node, sign in state.peer_statuses.items()
         if sign.address in state.seeds and now_ms - sign.at_ms < state.bounds.catch_up_ms
     }
     if not all(sign.blank for sign in here.values()):
@@ -43,8 +43,8 @@
     Example:
         outlived(state, node) is False
     """
-    old = state.signs.get(node)
+    old = state.peer_statuses.get(node)
     return old is not None and any(
         sign.blank and sign.address == old.address and sign.at_ms > old.at_ms
-        for sign in state.signs.values()
+        for sign in state.peer_statuses.values()
     )
--- a/spokeroute/register/membership/handover.py
+++ b/spokeroute/register/membership/handover.py
@@ -15,7 +15,7 @@
 from spokeroute.common.ids import NO_BALLOT, Ballot, MemberId, Ms, NodeId
 from spokeroute.common.replacing import replace
 from spokeroute.register.cells import ballot_of
-from spokeroute.register.membership.held import HandNames, Quiet
+from spokeroute.register.membership.accepted_copies import HandOverRegisters, SuspendAccepts
 from spokeroute.transport.messages import HeldAsk, HeldPart
 
 REPEAT_MS = 300  # a page that was not answered is asked for again
@@ -25,14 +25,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Hand:
+class StartHandover:
     """From membership: this member leaves, and these members stay."""
 
     members: tuple[MemberId, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Hold:
+class CancelHandover:
     """From membership: this member is needed: go on accepting."""
 
 
@@ -55,14 +55,14 @@
     """The handover's core.
 
     Example:
-        state, effects = step(State(MemberId("m1")), Hand((MemberId("m2"),)), now_ms)
+        state, effects = step(State(MemberId("m1")), StartHandover((MemberId("m2"),)), now_ms)
     """
     match event:
-        case Hand(members) if members != state.members:
+        case StartHandover(members) if members != state.members:
             return _begin(replace(state, members=members, done=not members), now_ms)
-        case Hold() if state.members is not None:
+        case CancelHandover() if state.members is not None:
             state = replace(state, members=None, quiet_ms=Ms(-1), done=False)
-            return state, (Tell("acceptor", Quiet(False)),)
+            return state, (Tell("acceptor", SuspendAccepts(False)),)
         case From(node, _, HeldPart() as part):
             return _answered(state, node, part, now_ms)
         case Tick() if state.members and not state.done:
@@ -109,7 +109,7 @@
     effects: list[Effect] = []
     for member, names in lacks.items():
         if names:
-            hand = HandNames(NodeId(member), names[:HAND_AT_ONCE])
+            hand = HandOverRegisters(NodeId(member), names[:HAND_AT_ONCE])
             effects.append(Tell("acceptor", hand))
     return replace(state, handed_ms=now_ms if effects else state.handed_ms), tuple(effects)
 
@@ -126,13 +126,13 @@
         text = "all that this member accepted is at a majority of those who stay"
         return replace(state, done=True), (Note(text),)
     state, asks = _begin(replace(state, quiet_ms=now_ms), now_ms)
-    return state, (Tell("acceptor", Quiet(True)), *asks)
+    return state, (Tell("acceptor", SuspendAccepts(True)), *asks)
 
 
 def _wake(state: State, now_ms: Ms) -> tuple[State, Effects]:
     if 0 <= state.quiet_ms <= now_ms - QUIET_MS:
         state, asks = _begin(replace(state, quiet_ms=Ms(-1)), now_ms)
-        return state, (Tell("acceptor", Quiet(False)), *asks)
+        return state, (Tell("acceptor", SuspendAccepts(False)), *asks)
     if 0 <= state.handed_ms <= now_ms - AGAIN_MS:
         return _begin(state, now_ms)
     if now_ms - state.asked_ms < REPEAT_MS:
--- a/spokeroute/register/membership/heartbeats.py
+++ b/spokeroute/register/membership/heartbeats.py
@@ -25,7 +25,7 @@
         heartbeats(state, everyone(state), now_ms)
     """
     silent_ms = state.bounds.catch_up_ms
-    hears = tuple(n for n, s in sorted(state.signs.items()) if now_ms - s.at_ms < silent_ms)
+    hears = tuple(n for n, s in sorted(state.peer_statuses.items()) if now_ms - s.at_ms < silent_ms)
     roster = state.roster
     alive = Heartbeat(
         roster.epoch if roster else 0, state.votes, roster is None, hears,
@@ -40,7 +40,7 @@
     Example:
         status_of(state, NodeId("m2"), heartbeat, now_ms).votes
     """
-    old = state.signs.get(node)
+    old = state.peer_statuses.get(node)
     known = state.addresses.get(node) or (old.address if old else Address(""))
     address = Address(alive.address) or known
     here = old is not None and now_ms - old.at_ms < state.bounds.catch_up_ms
--- a/spokeroute/register/membership/leave.py
+++ b/spokeroute/register/membership/leave.py
@@ -11,12 +11,12 @@
 from enum import Enum
 
 from spokeroute.common.ids import MemberId
-from spokeroute.register.membership.handover import Hand, Hold
-from spokeroute.register.membership.policy import RECENT_MS, CoreView, leavers, succession
+from spokeroute.register.membership.handover import CancelHandover, StartHandover
+from spokeroute.register.membership.policy import RECENT_MS, CoreView, leaver_replacement, leavers
 from spokeroute.register.membership.policy import still_copying as newcomer_copies
 
 SUCCESSOR_MS = 1_200  # a successor that was started with the stop is met within this
-MARGIN_MS = 600  # of the grace time, for the end itself
+STOP_MARGIN_MS = 600  # of the grace time, for the end itself
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,32 +24,37 @@
     """To membership: the process is asked to stop."""
 
 
-class Standing(Enum):
+class LeaveStatus(Enum):
     """Whether a member that leaves may end."""
 
     NEEDED = "it votes, or newcomers copy from it"
-    HANDING = "it may end once the handover is done"
-    FREE = "nothing depends on it"
+    HANDING_OVER = "it may end once the handover is done"
+    MAY_STOP = "nothing depends on it"
 
 
-def parting(view: CoreView, votes: bool, proposing: bool) -> tuple[Standing, Hand | Hold]:
+def parting(
+    view: CoreView, votes: bool, proposing: bool
+) -> tuple[LeaveStatus, StartHandover | CancelHandover]:
     """Whether this member, which leaves, may end, and the order for its handover.
 
     Example:
-        parting(view, True, False)[0] is Standing.HANDING
+        parting(view, True, False)[0] is LeaveStatus.HANDING_OVER
     """
     if view.me not in view.roster.ids:
-        return (Standing.NEEDED if _newcomers(view) else Standing.FREE), Hold()
+        return (LeaveStatus.NEEDED if _newcomers(view) else LeaveStatus.MAY_STOP), CancelHandover()
     if not votes:
-        return Standing.FREE, Hold()  # it copies itself: nothing is on its disk alone
+        return (
+            LeaveStatus.MAY_STOP,
+            CancelHandover(),
+        )  # it copies itself: nothing is on its disk alone
     staying = stayers(view)
     if not staying:
-        return Standing.HANDING, Hand(())
+        return LeaveStatus.HANDING_OVER, StartHandover(())
     waited_ms = view.now_ms - view.leaving_ms
-    taken = bool(succession(view)) or proposing or newcomer_copies(view)
+    taken = bool(leaver_replacement(view)) or proposing or newcomer_copies(view)
     if taken or waited_ms < SUCCESSOR_MS or len(_here(view)) < view.roster.majority:
-        return Standing.NEEDED, Hold()
-    return Standing.HANDING, Hand(staying)
+        return LeaveStatus.NEEDED, CancelHandover()
+    return LeaveStatus.HANDING_OVER, StartHandover(staying)
 
 
 def stayers(view: CoreView) -> tuple[MemberId, ...]:
@@ -64,7 +69,7 @@
 
 def _here(view: CoreView) -> list[MemberId]:
     """The other members that vote and were heard of lately, those that leave, too."""
-    signs = view.signs
+    signs = view.peer_statuses
     return [
         m
         for m in view.roster.ids
@@ -75,7 +80,7 @@
 def _newcomers(view: CoreView) -> list[MemberId]:
     """Members that joined by the epoch that this one left by, and are not known to vote in it."""
     epoch = view.roster.epoch
-    signs = view.signs
+    signs = view.peer_statuses
     return [
         m
         for m in view.roster.joining
--- a/spokeroute/register/membership/membership.py
+++ b/spokeroute/register/membership/membership.py
@@ -17,16 +17,16 @@
 from spokeroute.register.cells import Roster, pack_roster, read_roster, unpack_roster
 from spokeroute.register.changes import Ask, Outcome, RosterIs, Settled, Swap
 from spokeroute.register.disk.store import StoreWritable
-from spokeroute.register.membership.founding import founded, outlived
+from spokeroute.register.membership.bootstrap import founded, outlived
 from spokeroute.register.membership.heartbeats import everyone, heartbeats, status_of
 from spokeroute.register.membership.leave import Leave, parting
 from spokeroute.register.membership.policy import (
     HEARTBEAT_MS,
     CoreView,
-    absence,
+    leaver_replacement,
     lost_disks,
+    missing_majority,
     next_roster,
-    succession,
 )
 from spokeroute.register.membership.state import RosterChanged as RosterChanged
 from spokeroute.register.membership.state import State as State
@@ -93,13 +93,13 @@
 def _part(state: State, now_ms: Ms) -> tuple[State, Effects]:
     """Whether this member, which leaves, is still needed, and what it has to hand over first."""
     standing, order = parting(_view(state, now_ms), state.votes, bool(state.proposing))
-    return replace(state, standing=standing), (Tell("handover", order),)
+    return replace(state, leave_status=standing), (Tell("handover", order),)
 
 
 def _view(state: State, now_ms: Ms) -> CoreView:
     roster = state.roster or Roster(Epoch(0), ())
     return CoreView(
-        state.me, roster, state.signs, state.zones, state.bounds.catch_up_ms,
+        state.me, roster, state.peer_statuses, state.zones, state.bounds.catch_up_ms,
         state.bounds.members, state.started_ms, now_ms, state.leaving_ms, state.epoch_ms,
     )  # fmt: skip
 
@@ -120,7 +120,7 @@
 
 def _told_missing(state: State, now_ms: Ms) -> tuple[State, Effects]:
     """Say whose disks are needed, once for each such set of members."""
-    missing = absence(_view(state, now_ms)) if state.roster else None
+    missing = missing_majority(_view(state, now_ms)) if state.roster else None
     if missing == state.missing:
         return state, ()
     state = replace(state, missing=missing)
@@ -158,9 +158,9 @@
 
 
 def _heard(state: State, node: NodeId, alive: Heartbeat, now_ms: Ms) -> tuple[State, Effects]:
-    old = state.signs.get(node)
+    old = state.peer_statuses.get(node)
     sign = status_of(state, node, alive, now_ms)
-    state = replace(state, signs=state.signs.set(node, sign))
+    state = replace(state, peer_statuses=state.peer_statuses.set(node, sign))
     effects: list[Effect] = []
     if state.roster and alive.epoch < state.roster.epoch:
         effects.append(Send(node, RosterNews(pack_roster(state.roster))))
@@ -216,17 +216,22 @@
         for m in roster.previous
         if m != state.me
         and state.copied.get(m) != "."
-        and m in state.signs
-        and state.signs[m].epoch == roster.epoch
+        and m in state.peer_statuses
+        and state.peer_statuses[m].epoch == roster.epoch
     ]
     whole = sum(1 for m in roster.previous if state.copied.get(m) == ".")
-    busy = sum(1 for m in sources if state.signs[m].votes and asked_ms.get(m, late_ms) > late_ms)
+    busy = sum(
+        1 for m in sources if state.peer_statuses[m].votes and asked_ms.get(m, late_ms) > late_ms
+    )
     idle = [m for m in sources if asked_ms.get(m, late_ms) <= late_ms]
     idle.sort(
         key=lambda m: (
-            asked_ms.get(m, -1), not state.signs[m].votes, state.zones.get(m) != state.zone, m,
+            asked_ms.get(m, -1),
+            not state.peer_statuses[m].votes,
+            state.zones.get(m) != state.zone,
+            m,
         )
-    )  # fmt: skip
+    )
     chosen = idle[: max(0, len(roster.previous) // 2 + 1 - whole - busy)]
     for member in chosen:
         asked_ms = asked_ms.set(member, now_ms)
@@ -263,7 +268,7 @@
     view = _view(state, now_ms)
     new = next_roster(view)
     if new is None:
-        if lost_disks(view) or succession(view):
+        if lost_disks(view) or leaver_replacement(view):
             state = replace(state, turn_ms=Ms(now_ms + TURN_EVERY_MS))
         return state, ()
     op_id = f"roster/{state.me}/{state.draws + 1}"
--- a/spokeroute/register/membership/missing.py
+++ b/spokeroute/register/membership/missing_members.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Missing:
+class MissingMembers:
     """Members that are away, and how many of their disks make a majority again."""
 
     epoch: int
@@ -22,7 +22,7 @@
         """The same for people.
 
         Example:
-            Missing(1, ((MemberId("m1"), Address("h:1")),), 1).text
+            MissingMembers(1, ((MemberId("m1"), Address("h:1")),), 1).text
         """
         if not self.members:
             return "no majority answered in time; silent members: none"
@@ -35,12 +35,12 @@
         )
 
 
-def missing_of(roster: Roster, here: Collection[str]) -> Missing:
+def missing_members(roster: Roster, here: Collection[str]) -> MissingMembers:
     """What a roster lacks where only these of its members are here.
 
     Example:
-        missing_of(Roster(Epoch(1), ()), ()).needed == 1
+        missing_members(Roster(Epoch(1), ()), ()).needed == 1
     """
     away = tuple((m, a) for m, a in roster.members if m not in here)
     present = len(roster.members) - len(away)
-    return Missing(roster.epoch, away, roster.majority - present)
+    return MissingMembers(roster.epoch, away, roster.majority - present)
--- a/spokeroute/register/membership/policy.py
+++ b/spokeroute/register/membership/policy.py
@@ -16,7 +16,7 @@
 
 from spokeroute.common.ids import Address, Epoch, MemberId, Ms
 from spokeroute.register.cells import Roster
-from spokeroute.register.membership.missing import Missing, missing_of
+from spokeroute.register.membership.missing_members import MissingMembers, missing_members
 
 HEARTBEAT_MS = 500
 CANDIDATE_MS = 1_500
@@ -47,7 +47,7 @@
 
     me: MemberId
     roster: Roster
-    signs: Mapping[str, PeerStatus]
+    peer_statuses: Mapping[str, PeerStatus]
     zones: Mapping[str, str]
     silent_ms: int
     members: int
@@ -68,7 +68,7 @@
     lost = lost_disks(view)
     if lost:
         return _changed(view, lost) if _my_turn(view, lost) else None
-    left = succession(view)
+    left = leaver_replacement(view)
     if left:
         return _changed(view, left) if _successor_turn(view, left) else None
     grown = _grown(view)
@@ -86,14 +86,14 @@
     """
     found: dict[MemberId, MemberId] = {}
     for member, address in view.roster.members:
-        old = view.signs.get(member)
+        old = view.peer_statuses.get(member)
         there = [
             n
-            for n, s in view.signs.items()
+            for n, s in view.peer_statuses.items()
             if _waits(view, n, 0) and s.address == address and (old is None or old.at_ms < s.at_ms)
         ]
         if there and member != view.me:
-            found[member] = MemberId(max(there, key=lambda n: (view.signs[n].at_ms, n)))
+            found[member] = MemberId(max(there, key=lambda n: (view.peer_statuses[n].at_ms, n)))
     return found
 
 
@@ -106,7 +106,7 @@
     """
     found: dict[MemberId, Ms] = {}
     for member in view.roster.ids:
-        sign = view.signs.get(member)
+        sign = view.peer_statuses.get(member)
         if member == view.me and view.leaving_ms >= 0:
             found[member] = view.leaving_ms
         elif member != view.me and sign is not None and sign.leaving:
@@ -114,16 +114,16 @@
     return found
 
 
-def succession(view: CoreView) -> dict[MemberId, MemberId]:
+def leaver_replacement(view: CoreView) -> dict[MemberId, MemberId]:
     """One member that leaves, and the blank one that waits and takes its place: at once, since
     the leaver itself said that it goes, and goes on voting until its successor does.
 
     Example:
-        succession(view) == {}
+        leaver_replacement(view) == {}
     """
     leaving = leavers(view)
     blanks = _free(view, 0)
-    full = [m for m in leaving if m != view.me and not view.signs[m].writable]
+    full = [m for m in leaving if m != view.me and not view.peer_statuses[m].writable]
     if not leaving or not blanks or not _healthy(view, _silent(view) + full):
         return {}
     leaver = min(leaving, key=lambda m: (leaving[m], m))
@@ -140,7 +140,11 @@
     """
     if view.now_ms - view.epoch_ms >= view.silent_ms:
         return False
-    signs = [view.signs[m] for m in view.roster.joining if m in view.signs and m != view.me]
+    signs = [
+        view.peer_statuses[m]
+        for m in view.roster.joining
+        if m in view.peer_statuses and m != view.me
+    ]
     return any(
         not s.votes and not s.blank and s.writable and view.now_ms - s.at_ms < RECENT_MS
         for s in signs
@@ -150,7 +154,7 @@
 def _successor_turn(view: CoreView, left: Mapping[MemberId, MemberId]) -> bool:
     """The leaver proposes its successor first, the others after it."""
     leaver, blank = next(iter(left.items()))
-    since_ms = max(leavers(view)[leaver], view.signs[blank].since_ms)
+    since_ms = max(leavers(view)[leaver], view.peer_statuses[blank].since_ms)
     others = [leaver, *(m for m in view.roster.ids if m != leaver)]
     return view.now_ms - since_ms >= others.index(view.me) * TURN_MS
 
@@ -162,13 +166,13 @@
 
 def _my_turn(view: CoreView, lost: Mapping[MemberId, MemberId]) -> bool:
     living = [m for m in view.roster.ids if m not in lost]
-    since_ms = max(view.signs[n].since_ms for n in lost.values())
+    since_ms = max(view.peer_statuses[n].since_ms for n in lost.values())
     return view.now_ms - since_ms >= living.index(view.me) * TURN_MS
 
 
 def _waits(view: CoreView, node: str, for_ms: int) -> bool:
     """Whether a blank registry is here now, and was for a while."""
-    sign = view.signs[node]
+    sign = view.peer_statuses[node]
     return (
         sign.blank
         and sign.writable
@@ -184,13 +188,16 @@
         m
         for m in view.roster.ids
         if m != view.me
-        and (m not in view.signs or view.now_ms - view.signs[m].at_ms > view.silent_ms)
+        and (
+            m not in view.peer_statuses
+            or view.now_ms - view.peer_statuses[m].at_ms > view.silent_ms
+        )
     ]
 
 
 def _unwritable(view: CoreView) -> list[MemberId]:
     """Members that are here, and whose stores have taken no writes for long."""
-    signs = view.signs
+    signs = view.peer_statuses
     return [
         m
         for m in view.roster.ids
@@ -201,16 +208,16 @@
     ]
 
 
-def absence(view: CoreView) -> Missing | None:
+def missing_majority(view: CoreView) -> MissingMembers | None:
     """Who is missing, where a majority was silent for longer than a silent member is waited for.
 
     Example:
-        absence(view) is None
+        missing_majority(view) is None
     """
     if view.now_ms - view.started_ms < view.silent_ms:
         return None
     silent = _silent(view)
-    missing = missing_of(view.roster, [m for m in view.roster.ids if m not in silent])
+    missing = missing_members(view.roster, [m for m in view.roster.ids if m not in silent])
     return missing if missing.needed > 0 else None
 
 
@@ -218,14 +225,16 @@
     """Blank registries that wait at addresses of their own, in the order to be taken."""
     taken = {a for _, a in view.roster.members}
     return sorted(
-        n for n, s in view.signs.items() if _waits(view, n, for_ms) and s.address not in taken
+        n
+        for n, s in view.peer_statuses.items()
+        if _waits(view, n, for_ms) and s.address not in taken
     )
 
 
 def _healthy(view: CoreView, away: list[MemberId]) -> bool:
     """Whether all that are not away vote and take writes, and are a majority: a newcomer copies
     from them."""
-    here = [view.signs[m] for m in view.roster.ids if m != view.me and m not in away]
+    here = [view.peer_statuses[m] for m in view.roster.ids if m != view.me and m not in away]
     whole = all(sign.votes and sign.writable for sign in here)
     return whole and len(here) + 1 >= view.roster.majority
 
@@ -245,16 +254,18 @@
         m
         for m in silent
         if not any(
-            m in view.signs[other].hears
+            m in view.peer_statuses[other].hears
             for other in view.roster.ids
-            if other in view.signs and other not in silent
+            if other in view.peer_statuses and other not in silent
         )
     ]
     blanks = _free(view)
     away = unheard + unwritable
     if not away or not blanks or len(unheard) < len(silent):
         return {}
-    gone = min(away, key=lambda m: (view.signs[m].at_ms if m in view.signs else -1, m))
+    gone = min(
+        away, key=lambda m: (view.peer_statuses[m].at_ms if m in view.peer_statuses else -1, m)
+    )
     return {gone: _nearest(view, blanks, gone)}
 
 
@@ -289,12 +300,14 @@
     members: list[tuple[MemberId, Address]] = []
     for member, address in old.members:
         newcomer = instead.get(member)
-        members.append((newcomer, view.signs[newcomer].address) if newcomer else (member, address))
-    members.extend((m, view.signs[m].address) for m in more or ())
+        members.append(
+            (newcomer, view.peer_statuses[newcomer].address) if newcomer else (member, address)
+        )
+    members.extend((m, view.peer_statuses[m].address) for m in more or ())
     joining = [*instead.values(), *(more or ())]
     ids = {m for m, _ in members}
     for member in old.joining:
-        sign = view.signs.get(member)
+        sign = view.peer_statuses.get(member)
         if member in ids and member != view.me and not (sign is not None and sign.votes):
             joining.append(member)
     return Roster(Epoch(old.epoch + 1), tuple(members), old.ids, tuple(sorted(joining)))
--- a/spokeroute/register/membership/state.py
+++ b/spokeroute/register/membership/state.py
@@ -9,8 +9,8 @@
 from spokeroute.common.bounds import Bounds
 from spokeroute.common.ids import Address, MemberId, Ms
 from spokeroute.register.cells import Roster
-from spokeroute.register.membership.leave import Standing
-from spokeroute.register.membership.missing import Missing
+from spokeroute.register.membership.leave import LeaveStatus
+from spokeroute.register.membership.missing_members import MissingMembers
 from spokeroute.register.membership.policy import PeerStatus
 
 
@@ -32,7 +32,7 @@
     zone: str
     roster: Roster | None = None
     votes: bool = False
-    signs: Map[str, PeerStatus] = field(default_factory=Map)
+    peer_statuses: Map[str, PeerStatus] = field(default_factory=Map)
     addresses: Map[str, Address] = field(default_factory=Map)
     zones: Map[str, str] = field(default_factory=Map)
     started_ms: Ms = Ms(0)
@@ -47,6 +47,6 @@
     writable: bool = True  # whether this member's store takes writes
     leaving: bool = False  # whether this process was asked to stop
     leaving_ms: Ms = Ms(-1)  # since when
-    standing: Standing = Standing.NEEDED  # whether this member, which leaves, may end
+    leave_status: LeaveStatus = LeaveStatus.NEEDED  # whether this member, which leaves, may end
     epoch_ms: Ms = Ms(0)  # since when it is at the roster's epoch
-    missing: Missing | None = None  # who is away where too many are, for long
+    missing: MissingMembers | None = None  # who is away where too many are, for long
--- a/spokeroute/register/packed.py
+++ b/spokeroute/register/packing.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Opened:
+class UnpackedValue:
     """A value's text, and the bytes before and behind its packed part."""
 
     head: bytes
@@ -32,7 +32,7 @@
         """The value again.
 
         Example:
-            >>> open_packed(pack(b"text"), 0).packed() == pack(b"text")
+            >>> unpack_parts(pack(b"text"), 0).packed() == pack(b"text")
             True
         """
         return self.head + pack(self.text) + self.tail
@@ -55,15 +55,15 @@
         >>> unpack(b"head" + pack(b"text"), 4)
         b'text'
     """
-    return open_packed(value, head_bytes).text
+    return unpack_parts(value, head_bytes).text
 
 
 @lru_cache(maxsize=OPENED_KEPT)
-def open_packed(value: bytes, head_bytes: int) -> Opened:
+def unpack_parts(value: bytes, head_bytes: int) -> UnpackedValue:
     """A value in its parts.
 
     Example:
-        >>> open_packed(b"head" + pack(b"text") + b"tail", 4).tail
+        >>> unpack_parts(b"head" + pack(b"text") + b"tail", 4).tail
         b'tail'
     """
     stream = zlib.decompressobj()
@@ -73,4 +73,4 @@
         raise PackError(f"a value that can't be unpacked: {fault}") from fault
     if not stream.eof:
         raise PackError("a value that ends before its packed part does")
-    return Opened(value[:head_bytes], text, stream.unused_data)
+    return UnpackedValue(value[:head_bytes], text, stream.unused_data)
--- a/spokeroute/register/patches.py
+++ b/spokeroute/register/patches.py
@@ -14,8 +14,8 @@
 
 from spokeroute.common.ids import CONFIGURATION, FLOOR
 from spokeroute.register.cells import digest_of, is_value_of
-from spokeroute.register.packed import Opened, PackError, open_packed, pack
-from spokeroute.register.stamps import NUMBER
+from spokeroute.register.packing import PackError, UnpackedValue, pack, unpack_parts
+from spokeroute.register.value_metadata import NUMBER
 from spokeroute.transport.messages import Copy, ValuePatch
 
 HEAD_BYTES: Mapping[str, int] = {CONFIGURATION: NUMBER.size, FLOOR: 0}
@@ -39,7 +39,7 @@
     if head_bytes is None or not base or not value:
         return None
     try:
-        old, new = open_packed(base, head_bytes), open_packed(value, head_bytes)
+        old, new = unpack_parts(base, head_bytes), unpack_parts(value, head_bytes)
     except PackError:
         return None
     if not _packs_again(value, head_bytes):
@@ -55,7 +55,7 @@
 def _packs_again(value: bytes, head_bytes: int) -> bool:
     """Whether this process would pack the value's text as it is: another version of the library
     may pack it otherwise, and whoever patches it together would get other bytes."""
-    return open_packed(value, head_bytes).packed() == value
+    return unpack_parts(value, head_bytes).packed() == value
 
 
 def runs_of(base: bytes, target: bytes) -> tuple[Run, ...]:
@@ -92,12 +92,12 @@
     if head_bytes is None or digest_of(base) != patch.base:
         return None
     try:
-        lines = open_packed(base, head_bytes).text.splitlines(keepends=True)
-        rows = json.loads(open_packed(patch.runs, 0).text)
+        lines = unpack_parts(base, head_bytes).text.splitlines(keepends=True)
+        rows = json.loads(unpack_parts(patch.runs, 0).text)
         text = b"".join(_lines_of(lines, row) for row in rows)
     except (PackError, ValueError, TypeError, zlib.error):
         return None
-    value = Opened(patch.head, text, patch.tail).packed()
+    value = UnpackedValue(patch.head, text, patch.tail).packed()
     return value if is_value_of(patch.copy, value) else None
 
 
--- a/spokeroute/register/proposer/hints.py
+++ b/spokeroute/register/proposer/hints.py
@@ -7,7 +7,7 @@
 from spokeroute.common.effects import Effects, Tell
 from spokeroute.common.ids import NodeId
 from spokeroute.common.replacing import replace
-from spokeroute.register.membership.held import HandTo
+from spokeroute.register.membership.accepted_copies import HandOverCopy
 from spokeroute.register.proposer.rounds import State
 from spokeroute.transport.messages import Copy
 
@@ -37,7 +37,9 @@
     if not hints:
         return state, ()
     names = sorted(hints)
-    effects = tuple(Tell("acceptor", HandTo(node, hints[name])) for name in names[:HANDED_AT_ONCE])
+    effects = tuple(
+        Tell("acceptor", HandOverCopy(node, hints[name])) for name in names[:HANDED_AT_ONCE]
+    )
     later = Map({name: hints[name] for name in names[HANDED_AT_ONCE:]})
     rest = state.hints.set(node, later) if later else state.hints.delete(node)
     return replace(state, hints=rest), effects
--- a/spokeroute/register/proposer/patience.py
+++ b/spokeroute/register/proposer/patience.py
@@ -4,7 +4,7 @@
 
 from spokeroute.common.ids import Ms
 from spokeroute.register.changes import Ask
-from spokeroute.register.membership.missing import missing_of
+from spokeroute.register.membership.missing_members import missing_members
 from spokeroute.register.proposer.rounds import Op, Round, State, alone
 
 AWAY_MS = 1_500  # a member that was silent for so long has missed something
@@ -17,7 +17,7 @@
     Example:
         op_of(ask, now_ms).deadline_ms == now_ms + ask.wait_ms
     """
-    alone_after_ms = Ms(now_ms + ask.alone_ms) if ask.alone_ms else Ms(-1)
+    alone_after_ms = Ms(now_ms + ask.no_majority_wait_ms) if ask.no_majority_wait_ms else Ms(-1)
     return Op(ask, Ms(now_ms + ask.wait_ms), alone_after_ms=alone_after_ms)
 
 
@@ -43,7 +43,7 @@
         return "this registry has no roster yet"
     heard = {m for m, (_, at_ms) in state.heard.items() if now_ms - at_ms < AWAY_MS}
     here = heard | {state.me, *current.promises, *current.accepted}
-    missing = missing_of(state.roster, here).text
+    missing = missing_members(state.roster, here).text
     if alone(state, now_ms):
         return f"this registry has contact with no majority; {missing}"
     return missing
--- a/spokeroute/register/replica/agreement.py
+++ b/spokeroute/register/replica/agreement.py
@@ -9,7 +9,7 @@
 
 from spokeroute.common.ids import SPREAD, Ms
 from spokeroute.register.cells import ballot_of
-from spokeroute.register.replica.state import Answer, Unlike
+from spokeroute.register.replica.state import Answer, Disagreement
 from spokeroute.transport.messages import Copy
 
 
@@ -46,25 +46,25 @@
     return found
 
 
-def seen_unlike(
-    before: Map[str, Unlike], answers: Iterable[Answer], agreed: frozenset[str], now_ms: Ms
-) -> Map[str, Unlike]:
+def track_disagreements(
+    before: Map[str, Disagreement], answers: Iterable[Answer], agreed: frozenset[str], now_ms: Ms
+) -> Map[str, Disagreement]:
     """The registers on which members differ. A round that is under way goes on to newer ballots;
     where none is named for long, it was cut short.
 
     Example:
-        >>> seen_unlike(Map(), (), frozenset(), Ms(0))
+        >>> track_disagreements(Map(), (), frozenset(), Ms(0))
         immutables.Map({})
     """
     copies = [copy for answer in answers for copy in answer.copies]
-    found: dict[str, Unlike] = {}
+    found: dict[str, Disagreement] = {}
     for name in SPREAD:
         ballots = [ballot_of(copy) for copy in copies if copy.name == name]
         if name in agreed or not ballots:
             continue
         known, newest = before.get(name), max(ballots)
         moved = known is None or newest > known.ballot
-        found[name] = Unlike(newest, now_ms) if known is None or moved else known
+        found[name] = Disagreement(newest, now_ms) if known is None or moved else known
     return Map(found)
 
 
--- a/spokeroute/register/replica/jobs.py
+++ b/spokeroute/register/replica/compile_jobs.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Compile:
+class CompileJob:
     """A job for an edge thread: read a configuration into tables."""
 
     copy: Copy
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Compiled:
+class CompileResult:
     """The tables of a configuration."""
 
     copy: Copy
--- a/spokeroute/register/replica/compile_queue.py
+++ b/spokeroute/register/replica/compile_queue.py
@@ -13,10 +13,10 @@
 from spokeroute.common.ids import Ms
 from spokeroute.common.replacing import replace
 from spokeroute.common.switches import Switches
-from spokeroute.register.replica.jobs import Compile
+from spokeroute.register.replica.compile_jobs import CompileJob
 
-RESTS = 4  # times as long as the compilation took: a fifth of the time goes into them at most
-MOST_REST_MS = 500  # a configuration has to be in force within a few seconds
+REST_FACTOR = 4  # times as long as the compilation took: a fifth of the time goes into them at most
+MAX_REST_MS = 500  # a configuration has to be in force within a few seconds
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,11 +28,11 @@
         True
     """
 
-    running: Compile | None = None
+    running: CompileJob | None = None
     began_ms: Ms = Ms(0)
     rest_until_ms: Ms = Ms(0)
-    waiting: Compile | None = None
-    rests: int = RESTS
+    waiting: CompileJob | None = None
+    rests: int = REST_FACTOR
 
     def idle(self, now_ms: Ms) -> bool:
         """Whether a configuration that came now would be compiled at once.
@@ -53,11 +53,11 @@
         jobs = (self.running, self.waiting)
         return any(job is not None and job.copy.digest == digest for job in jobs)
 
-    def offered(self, job: Compile) -> CompileQueue:
+    def offered(self, job: CompileJob) -> CompileQueue:
         """With a configuration that came; of those that wait the newest stays.
 
         Example:
-            CompileQueue().offered(Compile(copy, value)).waiting is not None
+            CompileQueue().offered(CompileJob(copy, value)).waiting is not None
         """
         if self.waiting is not None and self.waiting.copy.version > job.copy.version:
             return self
@@ -72,7 +72,7 @@
         """
         if self.running is None or self.running.copy.digest != digest:
             return self
-        rest_ms = min(self.rests * (now_ms - self.began_ms), MOST_REST_MS)
+        rest_ms = min(self.rests * (now_ms - self.began_ms), MAX_REST_MS)
         return replace(self, running=None, rest_until_ms=Ms(now_ms + rest_ms))
 
     def next(self, now_ms: Ms) -> tuple[CompileQueue, Effects]:
--- a/spokeroute/register/replica/named_copies.py
+++ b/spokeroute/register/replica/copy_fingerprints.py
@@ -44,11 +44,11 @@
     return b"".join(fingerprint(named[name]) for name in SPREAD)
 
 
-def unlike(named: bytes, copies: tuple[Copy, ...]) -> tuple[Copy, ...]:
+def without_known_copies(named: bytes, copies: tuple[Copy, ...]) -> tuple[Copy, ...]:
     """A member's copies without those that the probe names alike.
 
     Example:
-        >>> unlike(b"", (Copy("floor", 1, "ab", 2, "m1"),))[0].name
+        >>> without_known_copies(b"", (Copy("floor", 1, "ab", 2, "m1"),))[0].name
         'floor'
     """
     if len(named) != FINGERPRINT_BYTES * len(SPREAD):
@@ -60,11 +60,11 @@
     return tuple(copy for copy in copies if by_name.get(copy.name) != fingerprint(copy))
 
 
-def filled(named: Map[str, Copy], copies: tuple[Copy, ...]) -> tuple[Copy, ...]:
+def with_named_copies(named: Map[str, Copy], copies: tuple[Copy, ...]) -> tuple[Copy, ...]:
     """All copies of an answer: those that it names, and those that the probe named.
 
     Example:
-        >>> filled(Map(), ())
+        >>> with_named_copies(Map(), ())
         ()
     """
     told = {copy.name for copy in copies}
--- a/spokeroute/register/replica/overdue.py
+++ b/spokeroute/register/replica/diagnostics.py
@@ -8,41 +8,42 @@
 from spokeroute.register.replica.state import State
 
 
-def overdue_text(state: State, now_ms: Ms) -> str:
+def overdue_proof_message(state: State, now_ms: Ms) -> str:
     """Why there is no proof, in one line.
 
     Example:
-        overdue_text(state, now_ms)
+        overdue_proof_message(state, now_ms)
     """
     members = len(state.roster.members) if state.roster else 0
     answers = sum(1 for each in state.answers.values() if each.sent_ms > state.proved_ms)
     parts = [
         f"no proof for {now_ms - state.proved_ms} ms",
         f"answers since: {answers} of {members} members",
-        f"questions that wait for values: {len(state.targets)}",
+        f"questions that wait for values: {len(state.pending_proofs)}",
     ]
     missing = _missing(state)
     if missing:
         parts.append(f"not here: {missing}")
-    parts.append(proof_text(state, now_ms))
+    parts.append(proof_summary(state, now_ms))
     return "; ".join(parts)
 
 
-def proof_text(state: State, now_ms: Ms) -> str:
+def proof_summary(state: State, now_ms: Ms) -> str:
     """What a process knows of its proofs, in one line: how old the newest one is, when a majority
     named the configuration alike last, which member was asked for values, how many answers came to
     questions that it does not keep any more.
 
     Example:
-        >>> proof_text(State(()), Ms(5))
+        >>> proof_summary(State(()), Ms(5))
         'proof_ms=-1 configuration_named_ms=-1 heard_ms=5 ask=none late_answers=0'
     """
-    ask = state.asks.open
+    ask = state.value_requests.open
     said = "none" if ask is None else f"{ask.node}/{now_ms - ask.sent_ms}ms"
     return (
         f"proof_ms={_age(state.proved_ms, now_ms)} "
         f"configuration_named_ms={_age(state.named_ms.get(CONFIGURATION, Ms(-1)), now_ms)} "
-        f"heard_ms={now_ms - state.asks.heard_ms} ask={said} late_answers={state.late_answers}"
+        f"heard_ms={now_ms - state.value_requests.heard_ms} ask={said} "
+        f"late_answers={state.late_answers}"
     )
 
 
@@ -53,11 +54,11 @@
 
 def _missing(state: State) -> str:
     """The values that the newest answer named and that are not here, with what is here."""
-    if not state.targets:
+    if not state.pending_proofs:
         return ""
     said: list[str] = []
-    for name, copy in state.targets[-1].copies.items():
-        got = state.here.get(name)
+    for name, copy in state.pending_proofs[-1].copies.items():
+        got = state.local_copies.get(name)
         if copy.version and (got is None or not same_value(got.copy, copy)):
             said.append(f"{name} {copy.version} (here: {got.copy.version if got else 0})")
     return ", ".join(said)
--- a/spokeroute/register/replica/contact.py
+++ b/spokeroute/register/replica/majority_contact.py
@@ -11,7 +11,7 @@
 
 from spokeroute.common.ids import CONFIGURATION, Ms
 from spokeroute.common.replacing import replace
-from spokeroute.register.replica.state import Answer, InContact, State
+from spokeroute.register.replica.state import Answer, MajorityContact, State
 
 GAP_MS = 2_000  # without a majority's answers for so long, contact was lost
 TOLD_EVERY_MS = 200
@@ -41,7 +41,7 @@
     return replace(state, answers=answers, contact_ms=now_ms)
 
 
-def told_contact(state: State, majority: int, now_ms: Ms) -> tuple[State, InContact | None]:
+def told_contact(state: State, majority: int, now_ms: Ms) -> tuple[State, MajorityContact | None]:
     """What whoever decides hears while the configuration stays unproved in spite of contact.
 
     Example:
@@ -53,4 +53,4 @@
         return state, None
     if not hears_majority(state.answers.values(), majority, now_ms):
         return state, None
-    return replace(state, told_contact_ms=now_ms), InContact(state.contact_ms, now_ms)
+    return replace(state, told_contact_ms=now_ms), MajorityContact(state.contact_ms, now_ms)
--- a/spokeroute/register/replica/open_questions.py
+++ b/spokeroute/register/replica/pending_probes.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OpenQuestion:
+class PendingProbe:
     """A question to one member."""
 
     node: NodeId
@@ -37,16 +37,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OpenQuestions:
+class PendingProbes:
     """Each member's unanswered questions, oldest first."""
 
-    by_member: Map[str, tuple[OpenQuestion, ...]] = field(default_factory=Map)
+    by_member: Map[str, tuple[PendingProbe, ...]] = field(default_factory=Map)
 
     def may_ask(self, node: str, now_ms: Ms) -> bool:
         """Whether a member may be asked now.
 
         Example:
-            >>> OpenQuestions().may_ask("m1", Ms(0))
+            >>> PendingProbes().may_ask("m1", Ms(0))
             True
         """
         unanswered = self.by_member.get(node, ())
@@ -58,29 +58,29 @@
         """Whether reports may go with the next question to a member.
 
         Example:
-            >>> OpenQuestions().may_report("m1")
+            >>> PendingProbes().may_report("m1")
             True
         """
         unanswered = self.by_member.get(node, ())
         return sum(1 for each in unanswered if each.reports) < MOST_WITH_REPORTS
 
-    def asked(self, question: OpenQuestion) -> OpenQuestions:
+    def asked(self, question: PendingProbe) -> PendingProbes:
         """With one more question.
 
         Example:
-            >>> once = OpenQuestions().asked(OpenQuestion(NodeId("m1"), 1, Ms(0), 3))
+            >>> once = PendingProbes().asked(PendingProbe(NodeId("m1"), 1, Ms(0), 3))
             >>> len(once.by_member["m1"])
             1
         """
         unanswered = (*self.by_member.get(question.node, ()), question)[-MOST_KEPT:]
         return replace(self, by_member=self.by_member.set(question.node, unanswered))
 
-    def answered(self, node: str, nonce: int) -> tuple[OpenQuestions, OpenQuestion | None]:
+    def answered(self, node: str, nonce: int) -> tuple[PendingProbes, PendingProbe | None]:
         """A member answered a question: those before it will not be answered any more. None where
         the question is not kept.
 
         Example:
-            >>> OpenQuestions().answered("m1", 1)[1] is None
+            >>> PendingProbes().answered("m1", 1)[1] is None
             True
         """
         unanswered = self.by_member.get(node, ())
--- a/spokeroute/register/replica/questions.py
+++ b/spokeroute/register/replica/probes.py
@@ -5,9 +5,9 @@
 from spokeroute.common.ids import Ms, NodeId
 from spokeroute.common.places import Distance
 from spokeroute.common.replacing import replace
-from spokeroute.register.replica.named_copies import fingerprints
+from spokeroute.register.replica.copy_fingerprints import fingerprints
 from spokeroute.register.replica.state import State
-from spokeroute.register.replica.value_asks import bringers, distance_of
+from spokeroute.register.replica.value_requests import distance_of, value_sources
 from spokeroute.transport.messages import Probe
 
 PROBE_MS = 400
@@ -33,9 +33,9 @@
         # All members that this process knows of may be gone: any registry has news of the roster.
         return tuple(dict.fromkeys((*roster.ids, *state.registries)))
     late = now_ms - state.proved_ms >= LATE_MS
-    if late or state.unlike or now_ms - state.all_probed_ms >= FAR_MS:
+    if late or state.disagreements or now_ms - state.all_probed_ms >= FAR_MS:
         return roster.ids
-    order = bringers(roster.ids, state.zones, state.places, state.address)
+    order = value_sources(roster.ids, state.zones, state.places, state.address)
     placing = tuple(node for node in order if node == state.reports.placement)
     nearest = tuple(dict.fromkeys((*placing, *order)))[: roster.majority]
     if now_ms - state.turn_ms < PROBE_MS:
@@ -110,4 +110,4 @@
         >>> digests_here(State(()))
         ()
     """
-    return tuple(got.copy.digest for got in state.here.values())
+    return tuple(got.copy.digest for got in state.local_copies.values())
--- a/spokeroute/register/replica/proof.py
+++ b/spokeroute/register/replica/proof.py
@@ -13,10 +13,10 @@
 from spokeroute.common.replacing import replace
 from spokeroute.register.cells import Roster, ballot_of, unpack_roster
 from spokeroute.register.replica.agreement import same_value
-from spokeroute.register.replica.open_questions import OpenQuestions
-from spokeroute.register.replica.state import Answer, Fresh, Got, State, Target
-from spokeroute.register.replica.value_asks import OpenAsk
-from spokeroute.register.stamps import number_of
+from spokeroute.register.replica.pending_probes import PendingProbes
+from spokeroute.register.replica.state import Answer, FreshCopies, LocalCopy, PendingProof, State
+from spokeroute.register.replica.value_requests import OpenRequest
+from spokeroute.register.value_metadata import number_of
 from spokeroute.transport.messages import Copy
 from spokeroute.transport.peers import CopiesNow
 
@@ -31,17 +31,17 @@
     Example:
         under(State(()), roster).answers == Map()
     """
-    return replace(state, roster=roster, questions=OpenQuestions(), answers=Map())
+    return replace(state, roster=roster, questions=PendingProbes(), answers=Map())
 
 
 def with_target(
-    targets: tuple[Target, ...], new: Target, ask: OpenAsk | None
-) -> tuple[Target, ...]:
+    targets: tuple[PendingProof, ...], new: PendingProof, ask: OpenRequest | None
+) -> tuple[PendingProof, ...]:
     """With a newer target, in place of the last one where both name the same. Past the bound the
     oldest one is dropped, but never the one whose values the open ask brings.
 
     Example:
-        >>> len(with_target((), Target(Ms(0), Map()), None))
+        >>> len(with_target((), PendingProof(Ms(0), Map()), None))
         1
     """
     if targets and _same_copies(targets[-1], new):
@@ -55,7 +55,7 @@
     return (*(each for each in targets if each is not dropped), new)
 
 
-def _same_copies(a: Target, b: Target) -> bool:
+def _same_copies(a: PendingProof, b: PendingProof) -> bool:
     return a.copies.keys() == b.copies.keys() and all(
         same_value(copy, b.copies[name]) for name, copy in a.copies.items()
     )
@@ -67,52 +67,52 @@
     Example:
         is_wanted(state, copy)
     """
-    named = (target.copies.get(copy.name) for target in state.targets)
+    named = (target.copies.get(copy.name) for target in state.pending_proofs)
     return any(each is not None and same_value(each, copy) for each in named)
 
 
-def is_behind(state: State, ask: OpenAsk, answer: Answer) -> bool:
+def is_behind(state: State, ask: OpenRequest, answer: Answer) -> bool:
     """Whether a member that was asked for values names an older version of some register than a
     majority had named before it was asked.
 
     Example:
-        is_behind(state, state.asks.open, answer)
+        is_behind(state, state.value_requests.open, answer)
     """
-    newest = {name: got.copy.version for name, got in state.ruling.items()}
-    for target in state.targets:
+    newest = {name: got.copy.version for name, got in state.in_force.items()}
+    for target in state.pending_proofs:
         if target.asked_ms <= ask.sent_ms:
             named = {name: copy.version for name, copy in target.copies.items()}
             newest = {name: max(named[name], newest.get(name, 0)) for name in named}
     return any(copy.version < newest.get(copy.name, 0) for copy in answer.copies)
 
 
-def keep(state: State, got: Got) -> State:
+def keep(state: State, got: LocalCopy) -> State:
     """Keep a value, and for a while those that it comes after: an answer may name one of them.
 
     Example:
-        state = keep(state, Got(copy, value))
+        state = keep(state, LocalCopy(copy, value))
     """
     name = got.copy.name
-    newest = state.here.get(name)
+    newest = state.local_copies.get(name)
     if newest is None:
-        return replace(state, here=state.here.set(name, got))
+        return replace(state, local_copies=state.local_copies.set(name, got))
     older, newer = sorted((newest, got), key=lambda each: each.copy.version)
     many = 1 if got.table is not None else KEPT_BEFORE
     before = (*state.before.get(name, ()), older)[-many:]
-    here, all_before = state.here.set(name, newer), state.before.set(name, before)
-    return replace(state, here=here, before=all_before)
+    here, all_before = state.local_copies.set(name, newer), state.before.set(name, before)
+    return replace(state, local_copies=here, before=all_before)
 
 
-def found(state: State, copy: Copy) -> Got | None:
+def found(state: State, copy: Copy) -> LocalCopy | None:
     """The value of a copy, if it is here.
 
     Example:
         found(state, copy) is None
     """
-    newest: Got | None = state.here.get(copy.name)
+    newest: LocalCopy | None = state.local_copies.get(copy.name)
     if newest is not None and same_value(newest.copy, copy):
         return newest
-    before: tuple[Got, ...] = state.before.get(copy.name, ())
+    before: tuple[LocalCopy, ...] = state.before.get(copy.name, ())
     return next((got for got in before if same_value(got.copy, copy)), None)
 
 
@@ -124,12 +124,16 @@
     Example:
         state, effects = prove(state)
     """
-    ruling, proved_of = state.ruling, state.proved_of
+    ruling, proved_of = state.in_force, state.proved_of
     for name in SPREAD:
-        for target in reversed(state.targets):
+        for target in reversed(state.pending_proofs):
             if target.asked_ms <= proved_of.get(name, Ms(-1)):
                 break
-            if name == FLOOR and state.floor_waits and not _configured(ruling, target):
+            if (
+                name == FLOOR
+                and state.floor_needs_configuration
+                and not _configured(ruling, target)
+            ):
                 continue
             found_here = _ruling_by(state, target.copies[name])
             if found_here is not None:
@@ -141,7 +145,7 @@
     return _proved(state, ruling, proved_of)
 
 
-def _configured(ruling: Map[str, Got], target: Target) -> bool:
+def _configured(ruling: Map[str, LocalCopy], target: PendingProof) -> bool:
     """Whether the configuration that a target names rules, or a newer one. Instances of services
     that an older one lacks would be stopped by it."""
     version = target.copies[CONFIGURATION].version
@@ -150,12 +154,12 @@
     )
 
 
-def _ruling_by(state: State, copy: Copy) -> Got | None:
+def _ruling_by(state: State, copy: Copy) -> LocalCopy | None:
     """What rules where a majority named a copy; None while its value is missing, or where it would
     go back."""
     if copy.version == 0:
-        return Got(copy, b"")
-    old, got = state.ruling.get(copy.name), found(state, copy)
+        return LocalCopy(copy, b"")
+    old, got = state.in_force.get(copy.name), found(state, copy)
     if old is not None and same_value(old.copy, copy):
         return old if ballot_of(old.copy) == ballot_of(copy) else replace(old, copy=copy)
     if got is None or (old is not None and old.copy.version >= copy.version):
@@ -163,18 +167,20 @@
     return replace(got, copy=copy)
 
 
-def _proved(state: State, ruling: Map[str, Got], proved_of: Map[str, Ms]) -> tuple[State, Effects]:
+def _proved(
+    state: State, ruling: Map[str, LocalCopy], proved_of: Map[str, Ms]
+) -> tuple[State, Effects]:
     changed = any(
-        name not in state.ruling or not same_value(state.ruling[name].copy, got.copy)
+        name not in state.in_force or not same_value(state.in_force[name].copy, got.copy)
         for name, got in ruling.items()
     )
     proved_ms = min(proved_of.get(name, Ms(-1)) for name in SPREAD)
-    left = tuple(each for each in state.targets if each.asked_ms > proved_ms)
+    left = tuple(each for each in state.pending_proofs if each.asked_ms > proved_ms)
     again = state.overdue and proved_ms > state.proved_ms
     text = f"proof again after {proved_ms - state.proved_ms} ms"
     effects: list[Effect] = [Note(text)] if again else []
     state = replace(
-        state, ruling=ruling, proved_of=proved_of, proved_ms=proved_ms, targets=left,
+        state, in_force=ruling, proved_of=proved_of, proved_ms=proved_ms, pending_proofs=left,
         overdue=state.overdue and not again,
     )  # fmt: skip
     if proved_ms < 0:
@@ -191,17 +197,17 @@
     return state, tuple(effects)
 
 
-def fresh_of(state: State, changed: bool) -> Fresh:
+def fresh_of(state: State, changed: bool) -> FreshCopies:
     """What the ruling copies say, for whoever decides.
 
     Example:
         fresh_of(State(()), False).versions == {}
     """
-    ruling = state.ruling.get(CONFIGURATION)
-    return Fresh(
+    ruling = state.in_force.get(CONFIGURATION)
+    return FreshCopies(
         state.proved_ms,
-        {name: got.copy.version for name, got in state.ruling.items()},
-        {name: got.value for name, got in state.ruling.items() if name != CONFIGURATION},
+        {name: got.copy.version for name, got in state.in_force.items()},
+        {name: got.value for name, got in state.in_force.items() if name != CONFIGURATION},
         ruling.table if ruling else None,
         changed,
         frozenset(
--- a/spokeroute/register/replica/report_changes.py
+++ b/spokeroute/register/replica/report_changes.py
@@ -15,8 +15,8 @@
 from spokeroute.common.replacing import replace
 from spokeroute.transport.messages import HeldReport
 
-WHOLE = 0  # the base of a report that stands for itself
-MOST_GONE = 500
+FULL_REPORT = 0  # the base of a report that stands for itself
+MAX_REMOVED = 500
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,7 +65,7 @@
                 del held[name]
                 gone[name] = number
         forgotten = self.forgotten
-        if len(gone) > MOST_GONE:
+        if len(gone) > MAX_REMOVED:
             gone, forgotten = Map[str, int]().mutate(), number
         return replace(self, held=held.finish(), gone=gone.finish(), forgotten=forgotten)
 
@@ -83,7 +83,7 @@
         if known is None:
             new = Acknowledged(incarnation, number)
         elif known.incarnation != incarnation:
-            new = Acknowledged(incarnation, WHOLE, newest + 1)
+            new = Acknowledged(incarnation, FULL_REPORT, newest + 1)
         elif number >= max(known.since, known.number):
             new = replace(known, number=number)
         else:
@@ -94,20 +94,20 @@
         """The question whose report a member has, as far as changes since it are known.
 
         Example:
-            >>> ReportChanges().base("m1") == WHOLE
+            >>> ReportChanges().base("m1") == FULL_REPORT
             True
         """
         known = self.acknowledged.get(node)
-        return known.number if known is not None and known.number >= self.forgotten else WHOLE
+        return known.number if known is not None and known.number >= self.forgotten else FULL_REPORT
 
     def since(self, base: int) -> tuple[tuple[HeldReport, ...], tuple[str, ...]]:
         """The reports that changed after a question, and what is held no more since.
 
         Example:
-            >>> ReportChanges().since(WHOLE)
+            >>> ReportChanges().since(FULL_REPORT)
             ((), ())
         """
         changed = tuple(each.report for each in self.held.values() if each.number > base)
-        if base == WHOLE:
+        if base == FULL_REPORT:
             return changed, ()
         return changed, tuple(name for name, number in self.gone.items() if number > base)
--- a/spokeroute/register/replica/state.py
+++ b/spokeroute/register/replica/state.py
@@ -12,9 +12,9 @@
 from spokeroute.common.places import Places
 from spokeroute.register.cells import Roster
 from spokeroute.register.replica.compile_queue import CompileQueue
-from spokeroute.register.replica.open_questions import OpenQuestions
+from spokeroute.register.replica.pending_probes import PendingProbes
 from spokeroute.register.replica.report_changes import ReportChanges
-from spokeroute.register.replica.value_asks import ValueAsks
+from spokeroute.register.replica.value_requests import ValueRequests
 from spokeroute.transport.messages import Copy, DemandReport, HeldReport, Took
 
 
@@ -27,12 +27,14 @@
     took: tuple[Took, ...] = ()
     leaving: bool = False
     busy: tuple[str, ...] = ()
-    within_ms: int = 0  # calls wait for an instance: the next probe comes this soon; 0: in turn
+    probe_within_ms: int = (
+        0  # calls wait for an instance: the next probe comes this soon; 0: in turn
+    )
     placement: NodeId = NodeId("")  # the member that places, as far as this process knows
 
 
 @dataclass(frozen=True, slots=True)
-class Fresh:
+class FreshCopies:
     """To whoever decides: these copies were the newest at ``as_of_ms``; ``absent`` instances
     are gone or going by a listing that some member read since."""
 
@@ -47,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class InContact:
+class MajorityContact:
     """To whoever decides: a majority of the core is heard since ``since_ms`` without a gap, and was
     at ``at_ms``, but the configuration is not proved to be the newest."""
 
@@ -66,7 +68,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unlike:
+class Disagreement:
     """A register on which members differ: the newest ballot named, and since when none is newer."""
 
     ballot: Ballot
@@ -74,7 +76,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Got:
+class LocalCopy:
     """A copy that is here."""
 
     copy: Copy
@@ -83,7 +85,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Target:
+class PendingProof:
     """What a majority named in answer to one question: each value rules from ``asked_ms`` on, once
     it is here. Several may wait for their values, as those come over a narrow link later than the
     answers to the next questions."""
@@ -99,23 +101,29 @@
     listeners: tuple[str, ...]
     roster: Roster | None = None
     registries: tuple[NodeId, ...] = ()
-    questions: OpenQuestions = OpenQuestions()
+    questions: PendingProbes = PendingProbes()
     answers: Map[str, Answer] = field(default_factory=Map)  # by member
     contact_ms: Ms = Ms(-1)  # since when a majority of them is heard without a gap
     told_contact_ms: Ms = Ms(-(10**6))
     nonce: int = 0
     next_ms: Ms = Ms(0)
-    ruling: Map[str, Got] = field(default_factory=Map)
-    here: Map[str, Got] = field(default_factory=Map)  # newest fetched, perhaps not yet proved
-    before: Map[str, tuple[Got, ...]] = field(default_factory=Map)  # here before them, newest last
+    in_force: Map[str, LocalCopy] = field(default_factory=Map)
+    local_copies: Map[str, LocalCopy] = field(
+        default_factory=Map
+    )  # newest fetched, perhaps not yet proved
+    before: Map[str, tuple[LocalCopy, ...]] = field(
+        default_factory=Map
+    )  # here before them, newest last
     named: Map[str, Copy] = field(default_factory=Map)  # what a majority named alike last
-    targets: tuple[Target, ...] = ()  # since the newest proof, oldest first
+    pending_proofs: tuple[PendingProof, ...] = ()  # since the newest proof, oldest first
     proved_of: Map[str, Ms] = field(default_factory=Map)  # by register
     proved_ms: Ms = Ms(-1)  # the earliest of them, once there is one of each
     reports: Reports = Reports((), ())
-    unlike: Map[str, Unlike] = field(default_factory=Map)  # registers on which members differ
+    disagreements: Map[str, Disagreement] = field(
+        default_factory=Map
+    )  # registers on which members differ
     back_ms: Ms = Ms(-(10**6))  # when members answered again after a silence of all of them
-    asks: ValueAsks = ValueAsks()
+    value_requests: ValueRequests = ValueRequests()
     changes: ReportChanges = ReportChanges()
     compiles: CompileQueue = CompileQueue()
     probed_ms: Ms = Ms(0)  # when the last probe went out
@@ -129,14 +137,16 @@
     address: str = ""
     places: Places = Places()
     zones: Map[str, str] = field(default_factory=Map)  # of the registries that are known
-    floor_waits: bool = False  # who places: no placement table rules beside an older configuration
+    floor_needs_configuration: bool = (
+        False  # who places: no placement table rules beside an older configuration
+    )
 
     @property
-    def target_ms(self) -> Ms:
+    def latest_agreed_ms(self) -> Ms:
         """When the newest question was asked that a majority answered alike; -1 before the first.
 
         Example:
-            >>> State(()).target_ms
+            >>> State(()).latest_agreed_ms
             -1
         """
-        return self.targets[-1].asked_ms if self.targets else self.proved_ms
+        return self.pending_proofs[-1].asked_ms if self.pending_proofs else self.proved_ms
--- a/spokeroute/register/replica/value_asks.py
+++ b/spokeroute/register/replica/value_requests.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OpenAsk:
+class OpenRequest:
     """An ask that was not answered yet."""
 
     node: NodeId
@@ -34,10 +34,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ValueAsks:
+class ValueRequests:
     """The open ask with a probe, the open fetch of each register, and who comes next."""
 
-    open: OpenAsk | None = None
+    open: OpenRequest | None = None
     patience_ms: int = FIRST_PATIENCE_MS
     turn: int = 0  # how many members were given up since the first
     turned_ms: Ms = Ms(0)
@@ -48,7 +48,7 @@
         """Whether an ask is open, and not overdue.
 
         Example:
-            >>> ValueAsks().waiting(Ms(0))
+            >>> ValueRequests().waiting(Ms(0))
             False
         """
         return self.open is not None and now_ms - self.open.sent_ms < self.patience_ms
@@ -57,19 +57,19 @@
         """Whether no member has answered for long.
 
         Example:
-            >>> ValueAsks().silent(Ms(1_000))
+            >>> ValueRequests().silent(Ms(1_000))
             True
         """
         return now_ms - self.heard_ms > SILENT_MS
 
     def asked(
         self, members: tuple[NodeId, ...], may: frozenset[str], nonce: int, now_ms: Ms
-    ) -> ValueAsks:
+    ) -> ValueRequests:
         """One more ask: of the first member, or of the next where the last one did not answer; of
         those that may be asked now.
 
         Example:
-            >>> ValueAsks().asked((NodeId("m1"),), frozenset(["m1"]), 1, Ms(0)).open.node
+            >>> ValueRequests().asked((NodeId("m1"),), frozenset(["m1"]), 1, Ms(0)).open.node
             'm1'
         """
         turn, turned_ms, patience_ms = self.turn, self.turned_ms, self.patience_ms
@@ -82,19 +82,19 @@
         node = next(each for each in (*members[first:], *members[:first]) if each in may)
         return replace(
             self,
-            open=OpenAsk(node, nonce, now_ms),
+            open=OpenRequest(node, nonce, now_ms),
             patience_ms=patience_ms,
             turn=turn,
             turned_ms=turned_ms,
         )
 
-    def answered(self, node: str, nonce: int, now_ms: Ms) -> ValueAsks:
+    def answered(self, node: str, nonce: int, now_ms: Ms) -> ValueRequests:
         """A member answered. The open ask is over if it was this one, or a later one at the same
         member, as answers keep their order; or if nobody had answered for long, as it was lost
         then. What is only slow stays open.
 
         Example:
-            >>> asks = ValueAsks().asked((NodeId("m1"),), frozenset(["m1"]), 1, Ms(0))
+            >>> asks = ValueRequests().asked((NodeId("m1"),), frozenset(["m1"]), 1, Ms(0))
             >>> asks.answered("m1", 1, Ms(9)).open is None
             True
         """
@@ -105,11 +105,11 @@
             return heard
         return replace(heard, open=None, patience_ms=FIRST_PATIENCE_MS)
 
-    def passed_on(self, now_ms: Ms) -> ValueAsks:
+    def passed_on(self, now_ms: Ms) -> ValueRequests:
         """The member that answered is behind the others: the next one is asked.
 
         Example:
-            >>> ValueAsks().passed_on(Ms(5)).turn
+            >>> ValueRequests().passed_on(Ms(5)).turn
             1
         """
         return replace(self, turn=self.turn + 1, turned_ms=now_ms)
@@ -118,7 +118,7 @@
         """Whether a register's value may be fetched by itself: nothing that may bring it is open.
 
         Example:
-            >>> ValueAsks().may_fetch("floor", Ms(0))
+            >>> ValueRequests().may_fetch("floor", Ms(0))
             True
         """
         if self.waiting(now_ms):
@@ -126,22 +126,22 @@
         since_ms, patience_ms = self.fetches.get(name, (Ms(0), 0))
         return now_ms - since_ms >= patience_ms
 
-    def fetched(self, name: str, now_ms: Ms) -> ValueAsks:
+    def fetched(self, name: str, now_ms: Ms) -> ValueRequests:
         """A register's value is being fetched.
 
         Example:
-            >>> ValueAsks().fetched("floor", Ms(0)).may_fetch("floor", Ms(100))
+            >>> ValueRequests().fetched("floor", Ms(0)).may_fetch("floor", Ms(100))
             False
         """
         _, before_ms = self.fetches.get(name, (Ms(0), 0))
         patience_ms = min(max(2 * before_ms, FIRST_PATIENCE_MS), LONGEST_PATIENCE_MS)
         return replace(self, fetches=self.fetches.set(name, (now_ms, patience_ms)))
 
-    def came(self, name: str) -> ValueAsks:
+    def came(self, name: str) -> ValueRequests:
         """A value of a register came.
 
         Example:
-            >>> ValueAsks().fetched("floor", Ms(0)).came("floor").may_fetch("floor", Ms(1))
+            >>> ValueRequests().fetched("floor", Ms(0)).came("floor").may_fetch("floor", Ms(1))
             True
         """
         if name not in self.fetches:
@@ -149,7 +149,7 @@
         return replace(self, fetches=self.fetches.delete(name))
 
 
-def bringers(
+def value_sources(
     members: tuple[NodeId, ...], zones: Mapping[str, str], places: Places, address: str
 ) -> tuple[NodeId, ...]:
     """The members in the order in which a process asks them for values: those of its own zone
@@ -157,7 +157,7 @@
     dearer; each process begins with another one of the same distance.
 
     Example:
-        >>> bringers((NodeId("a"), NodeId("b")), {"a": "x", "b": "y"}, Places("y"), "h:1")
+        >>> value_sources((NodeId("a"), NodeId("b")), {"a": "x", "b": "y"}, Places("y"), "h:1")
         ('b', 'a')
     """
     spread = zlib.crc32(address.encode())
--- a/spokeroute/register/stamps.py
+++ b/spokeroute/register/value_metadata.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Made:
+class AppliedOrder:
     """An order that was carried out: its id, the version that it made, what it was sent with."""
 
     order_id: str
@@ -25,21 +25,22 @@
     content: str = ""
 
 
-def find(made: tuple[Made, ...], order_id: str) -> Made | None:
+def find_order(made: tuple[AppliedOrder, ...], order_id: str) -> AppliedOrder | None:
     """What is known of an order.
 
     Example:
-        >>> find((Made("a", 3),), "a").version
+        >>> find_order((AppliedOrder("a", 3),), "a").version
         3
     """
     return next((each for each in made if each.order_id == order_id), None)
 
 
-def remember(made: tuple[Made, ...], new: Made) -> tuple[Made, ...]:
+def remember_order(made: tuple[AppliedOrder, ...], new: AppliedOrder) -> tuple[AppliedOrder, ...]:
     """The orders that are remembered once one more is made: the newest.
 
     Example:
-        >>> len(remember(tuple(Made(str(n), n) for n in range(64)), Made("x", 65)))
+        >>> orders = tuple(AppliedOrder(str(n), n) for n in range(64))
+        >>> len(remember_order(orders, AppliedOrder("x", 65)))
         64
     """
     return (*made, new)[-ORDERS_KEPT:]
@@ -62,33 +63,33 @@
     return size + TRAILER.size if mark == TRAILER_MARK else 0
 
 
-def made_of(value: bytes) -> tuple[Made, ...]:
+def applied_orders(value: bytes) -> tuple[AppliedOrder, ...]:
     """The orders that a value remembers, oldest first.
 
     Example:
-        >>> made_of(b"")
+        >>> applied_orders(b"")
         ()
     """
     size = _trailer_bytes(value)
     if not size:
         return ()
     rows = json.loads(value[len(value) - size : -TRAILER.size])
-    return tuple(Made(*row) for row in rows)
+    return tuple(AppliedOrder(*row) for row in rows)
 
 
-def stamped(value: bytes, before: bytes, new: Made | None = None) -> bytes:
+def with_metadata(value: bytes, before: bytes, new: AppliedOrder | None = None) -> bytes:
     """A new value that goes on from the one before: the number never goes back, and the orders
     are remembered, with the new one.
 
     Example:
-        >>> number_of(stamped(NUMBER.pack(0), NUMBER.pack(70)))
+        >>> number_of(with_metadata(NUMBER.pack(0), NUMBER.pack(70)))
         70
     """
     number = max(number_of(value), number_of(before))
     body = value[NUMBER.size : len(value) - _trailer_bytes(value)]
-    made = made_of(before)
+    made = applied_orders(before)
     if new is not None:
-        made = remember(made, new)
+        made = remember_order(made, new)
     if not made:
         return NUMBER.pack(number) + body
     rows = json.dumps([astuple(each) for each in made], separators=(",", ":")).encode()
@@ -118,8 +119,10 @@
             >>> ApplyOnce(0, "a", "c0ffee", NUMBER.pack(0)).decide(1, b"") is None
             True
         """
-        if version != self.expect or find(made_of(value), self.order_id):
+        if version != self.expect or find_order(applied_orders(value), self.order_id):
             return None
-        return stamped(
-            self.value, value, Made(self.order_id, version + 1, self.content[:CONTENT_CHARS])
+        return with_metadata(
+            self.value,
+            value,
+            AppliedOrder(self.order_id, version + 1, self.content[:CONTENT_CHARS]),
         )
--- a/spokeroute/registry/headers.py
+++ b/spokeroute/registry/headers.py
@@ -8,7 +8,7 @@
 from urllib.parse import parse_qs
 
 from spokeroute.common.answers import Answer, problem
-from spokeroute.register.numbers import MAX_NUMBER
+from spokeroute.register.configuration_numbers import MAX_NUMBER
 
 _ORDER_ID = re.compile(r"[A-Za-z0-9._-]{1,64}")
 _DIGITS = 19  # of MAX_NUMBER
--- a/spokeroute/registry_node.py
+++ b/spokeroute/registry_node.py
@@ -17,7 +17,7 @@
 from spokeroute.register.anti_entropy import anti_entropy
 from spokeroute.register.disk.disk import Loaded
 from spokeroute.register.membership import handover, membership
-from spokeroute.register.membership.leave import MARGIN_MS, Leave, Standing
+from spokeroute.register.membership.leave import STOP_MARGIN_MS, Leave, LeaveStatus
 from spokeroute.register.proposer import proposer
 from spokeroute.register.replica import replica
 from spokeroute.register.replica.compile_queue import compile_queue
@@ -116,7 +116,7 @@
             places=start.places,
             nonce=first_nonce(me.incarnation),
             compiles=compile_queue(start.switches),
-            floor_waits=True,
+            floor_needs_configuration=True,
         ),
         replica.step,
         takes=(m.ProbeAck, m.FetchGot, m.ValuePatch, m.RosterNews),
@@ -169,10 +169,10 @@
     Example:
         may_end(process, Bounds(), 9_000)
     """
-    if waited_ms >= bounds.grace_ms - MARGIN_MS:
+    if waited_ms >= bounds.grace_ms - STOP_MARGIN_MS:
         return True
     idle = process.actors["acceptor"].state.writing is None
-    standing = process.actors["membership"].state.standing
+    standing = process.actors["membership"].state.leave_status
     done = process.actors["handover"].state.done
-    free = standing is Standing.FREE or (standing is Standing.HANDING and done)
+    free = standing is LeaveStatus.MAY_STOP or (standing is LeaveStatus.HANDING_OVER and done)
     return waited_ms > LEAST_MS and idle and free
--- a/tests/one_exchange.py
+++ b/tests/one_exchange.py
@@ -38,7 +38,7 @@
 from spokeroute.http.dialect import Dialect
 from spokeroute.ledger.ring import Ring
 from spokeroute.nodes import Start, build_exchange
-from spokeroute.register.replica.replica import Fresh
+from spokeroute.register.replica.replica import FreshCopies
 from spokeroute.transport.net import Loop
 from spokeroute.transport.process import Me
 
@@ -132,7 +132,7 @@
         )  # fmt: skip
         floor = pack_floor(Floor(Term(1), version, (placed,)))
         now_ms = monotonic_ms()
-        fresh = Fresh(
+        fresh = FreshCopies(
             now_ms, {"configuration": version, "floor": version}, {"floor": floor},
             build_table(Version(version), "", value), True, number=version,
             configuration_ms=Ms(now_ms - age_ms),
--- a/tests/sim/changing.py
+++ b/tests/sim/changing.py
@@ -11,7 +11,7 @@
 from spokeroute.dispatch.placement.table import pack_floor, unpack_floor
 from spokeroute.register.cells import EMPTY, Cell
 from spokeroute.register.changes import Ask
-from spokeroute.register.claims import Win
+from spokeroute.register.claims import AcquireClaim
 from spokeroute.transport.frames import decode
 from tests.sim.cluster import Sim, configuration
 from tests.sim.world import Node
@@ -94,7 +94,7 @@
     told = sim.apply(configuration(name=f"v{number}"), registry=index)
     node.report("proposer", Ask(f"f{number}", FLOOR, NextFloor(), ""), node.births)
     name = claim or f"key-{number}"
-    win = Win(f"call-{number}", "f" * 40, 4_000)
+    win = AcquireClaim(f"call-{number}", "f" * 40, 4_000)
     node.report("proposer", Ask(f"c{number}", f"claim/{name}", win, "", 4_000), node.births)
     return told
 
--- a/tests/sim/storms.py
+++ b/tests/sim/storms.py
@@ -59,7 +59,7 @@
 
 def ruling(node: Node) -> int:
     """The version of the configuration that a node goes by."""
-    got = node.state("replica").ruling.get(CONFIGURATION)
+    got = node.state("replica").in_force.get(CONFIGURATION)
     return got.copy.version if got else 0
 
 
--- a/tests/sim/world.py
+++ b/tests/sim/world.py
@@ -27,7 +27,7 @@
     DiskWrite,
     ReopenStore,
 )
-from spokeroute.register.replica.replica import Compile, Compiled
+from spokeroute.register.replica.replica import CompileJob, CompileResult
 from spokeroute.registry_node import ask_to_leave, build_registry, may_end
 from spokeroute.transport.process import Me, Process
 from tests.sim import disk as disks
@@ -103,7 +103,7 @@
                 self.env.process(disks.reopen(self, actor, born))
             case LedgerWrite():
                 self.env.process(disks.ledger(self, actor, job, born))
-            case Compile():
+            case CompileJob():
                 self.env.process(self._compile(actor, job, born))
             case SendAttempt():
                 token = Token()
@@ -122,7 +122,7 @@
 
     # the edges
 
-    def _compile(self, actor: str, job: Compile, born: int) -> Steps:
+    def _compile(self, actor: str, job: CompileJob, born: int) -> Steps:
         reader = self.reader
         table = reader.read(Version(job.copy.version), job.copy.digest, job.value)
         if self.processor is None:
@@ -130,7 +130,7 @@
         else:
             kept = reader.rows - reader.rows_read
             yield from self.processor.run(ROW_MS * reader.rows_read + KEPT_ROW_MS * kept)
-        self.report(actor, Compiled(job.copy, job.value, table), born)
+        self.report(actor, CompileResult(job.copy, job.value, table), born)
 
     def report(self, actor: str, event: object, born: int) -> None:
         """An edge's report: lost with the process, late while it is frozen."""
--- a/tests/test_absent_told_once.py
+++ b/tests/test_absent_told_once.py
@@ -12,7 +12,7 @@
 from spokeroute.register.acceptor.probed import probed
 from spokeroute.register.cells import Roster
 from spokeroute.register.replica import replica
-from spokeroute.register.replica.named_copies import absent_fingerprint
+from spokeroute.register.replica.copy_fingerprints import absent_fingerprint
 from spokeroute.register.replica.state import State
 from spokeroute.transport.messages import Copy, Probe, ProbeAck
 from tests.sim.cluster import Sim
--- a/tests/test_bytes.py
+++ b/tests/test_bytes.py
@@ -70,7 +70,7 @@
         state, brings = beat(state, at_ms)
         asks.extend(sorted(brings))
         for node in ("m1", "m2", "m3"):
-            if state.asks.open is None or node != state.asks.open.node:
+            if state.value_requests.open is None or node != state.value_requests.open.node:
                 ack = ProbeAck(state.nonce, 1, (), (), ())
                 state, _ = replica.step(state, From(NodeId(node), LIFE, ack), Ms(at_ms + 5))
         assert len(brings) <= 1
@@ -136,8 +136,8 @@
 
 def test_between_two_turns_only_as_many_are_asked_as_make_a_proof() -> None:
     """Where calls wait for an instance, probes come up to 25 times a second."""
-    state = replace(with_roster(begun()), proved_ms=Ms(1_000), reports=Reports((), (), within_ms=40,
-                    placement=NodeId("m3")))  # fmt: skip
+    reports = Reports((), (), probe_within_ms=40, placement=NodeId("m3"))
+    state = replace(with_roster(begun()), proved_ms=Ms(1_000), reports=reports)
     state, _ = beat(state, 1_010)
     assert set(asked(state, 1_060)) == {"m2", "m3"}  # its zone's, and the one that places
     anywhere = replace(state, reports=replace(state.reports, placement=NodeId("gone")))
--- a/tests/test_catch_up_links.py
+++ b/tests/test_catch_up_links.py
@@ -16,8 +16,8 @@
 from spokeroute.register.acceptor.copy_page import COPY_PAGE_BYTES, copy_page
 from spokeroute.register.anti_entropy import anti_entropy
 from spokeroute.register.anti_entropy.anti_entropy import State
-from spokeroute.register.anti_entropy.cell_index import CatchUp, Synced, index_of
-from spokeroute.register.anti_entropy.page import MOST_PAGE_BYTES
+from spokeroute.register.anti_entropy.cell_index import CellsReloaded, CellsSynced, index_of
+from spokeroute.register.anti_entropy.page import MAX_PAGE_BYTES
 from spokeroute.register.cells import Cell, Roster, digest_of
 from spokeroute.register.changes import Ask, Read, Swap
 from spokeroute.register.disk.disk import Disk
@@ -112,7 +112,7 @@
     node.start()
     took_ms = whole_after(sim, node, 2 * CATCH_UP_MS)
     print("300 KB at 2 Mbit/s took", took_ms, dict(traffic.largest))
-    assert traffic.largest["CellsPart"] <= 80_000 < MOST_PAGE_BYTES
+    assert traffic.largest["CellsPart"] <= 80_000 < MAX_PAGE_BYTES
     assert traffic.frames["CellsPart"] >= 6
     assert node.disk is not None and node.disk.cells["claim/large"].value == value
     sim.close()
@@ -131,13 +131,13 @@
 
 
 @pytest.mark.parametrize("seed", [3, 4, 5, 6, 7, 8])  # whom a read asks is drawn: these bar some
-@pytest.mark.parametrize("renewed", [anti_entropy.MOST_RENEWED, 0])
+@pytest.mark.parametrize("renewed", [anti_entropy.MAX_REWRITTEN, 0])
 def test_a_read_meanwhile_leaves_no_member_behind(
     renewed: int, seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A read's promise is above the newest accept, and bars it from a member that was away. What
     it bars is written anew; without that (0) the member stays behind for good."""
-    monkeypatch.setattr(anti_entropy, "MOST_RENEWED", renewed)
+    monkeypatch.setattr(anti_entropy, "MAX_REWRITTEN", renewed)
     sim = core_of(seed)
     node = missed(sim, 30)
     traffic = Traffic(sim)
@@ -309,7 +309,7 @@
     for _ in range(200):
         sim.run(50)
         copies = node.state("replica")
-        assert copies.proved_ms < 0 and not copies.ruling
+        assert copies.proved_ms < 0 and not copies.in_force
         assert node.state("role").term == 0 and node.state("role").known is None
         assert node.state("placement").term == 0 and node.state("placement").table is None
         assert node.state("acceptor").epoch == 1
@@ -339,7 +339,7 @@
     """What the reopened store lacks is no longer offered, and is asked for."""
     cells = Map({"a": cell_of(b"a"), "b": cell_of(b"b")})
     state = replace(anti_entropy.start(ME, ROSTER, True, cells), due=Map())
-    state, _ = anti_entropy.step(state, CatchUp(cells.delete("b"), ROSTER, True), Ms(50))
+    state, _ = anti_entropy.step(state, CellsReloaded(cells.delete("b"), ROSTER, True), Ms(50))
     assert set(state.due) == {"m1", "m2"} and state.index == index_of(cells.delete("b"))
 
 
@@ -347,6 +347,6 @@
     cells = Map({f"r{n}": cell_of(b"x", n + 1) for n in range(40)})
     state = anti_entropy.start(ME, ROSTER, True, cells)
     now = cells.set("r3", cell_of(b"y", 90)).delete("r4").set("new", cell_of(b"z"))
-    news = Synced(("r3", "r4", "new"), now, Map(), ROSTER, True)
+    news = CellsSynced(("r3", "r4", "new"), now, Map(), ROSTER, True)
     state, _ = anti_entropy.step(state, news, Ms(5))
     assert state.index == index_of(now) != index_of(cells)
--- a/tests/test_compile_queue.py
+++ b/tests/test_compile_queue.py
@@ -7,15 +7,15 @@
 
 from spokeroute.common.effects import Launch
 from spokeroute.common.ids import CONFIGURATION, Ms
-from spokeroute.register.replica.compile_queue import MOST_REST_MS, RESTS, CompileQueue
-from spokeroute.register.replica.jobs import Compile
+from spokeroute.register.replica.compile_jobs import CompileJob
+from spokeroute.register.replica.compile_queue import MAX_REST_MS, REST_FACTOR, CompileQueue
 from spokeroute.transport.messages import Copy
 
 SPAN_MS = 20_000
 
 
-def job(version: int) -> Compile:
-    return Compile(Copy(CONFIGURATION, version, f"d{version}", version, "m1"), b"value")
+def job(version: int) -> CompileJob:
+    return CompileJob(Copy(CONFIGURATION, version, f"d{version}", version, "m1"), b"value")
 
 
 def test_of_what_comes_during_a_compilation_only_the_newest_is_compiled() -> None:
@@ -26,8 +26,8 @@
         assert effects == ()
     assert queue.has("d1") and queue.has("d4") and not queue.has("d3")
     queue = queue.ended("d1", Ms(10))
-    assert queue.next(Ms(10 + 10 * RESTS - 1))[1] == ()
-    assert queue.next(Ms(10 + 10 * RESTS))[1] == (Launch(job(4)),)
+    assert queue.next(Ms(10 + 10 * REST_FACTOR - 1))[1] == ()
+    assert queue.next(Ms(10 + 10 * REST_FACTOR))[1] == (Launch(job(4)),)
 
 
 def test_another_ones_end_frees_nothing() -> None:
@@ -38,11 +38,11 @@
 
 def test_a_rest_is_bounded() -> None:
     queue, _ = CompileQueue().offered(job(1)).next(Ms(0))
-    assert queue.ended("d1", Ms(3_000)).idle(Ms(3_000 + MOST_REST_MS))
+    assert queue.ended("d1", Ms(3_000)).idle(Ms(3_000 + MAX_REST_MS))
 
 
 @settings(deadline=None)  # simulated time; how fast this machine runs it is not the property
-@given(st.integers(1, MOST_REST_MS // RESTS), st.integers(1, 50))
+@given(st.integers(1, MAX_REST_MS // REST_FACTOR), st.integers(1, 50))
 def test_however_often_one_comes_it_takes_a_fifth_of_the_time(took_ms: int, gap_ms: int) -> None:
     queue, busy_ms, newest, compiled = CompileQueue(), 0, 0, 0
     for now_ms in range(0, SPAN_MS):
@@ -56,5 +56,5 @@
         if launched and queue.running is not None:
             assert queue.running.copy.version > compiled
             compiled = queue.running.copy.version
-    assert busy_ms <= SPAN_MS / (1 + RESTS) + took_ms
-    assert newest - compiled <= ((1 + RESTS) * took_ms + 2 * gap_ms) / gap_ms
+    assert busy_ms <= SPAN_MS / (1 + REST_FACTOR) + took_ms
+    assert newest - compiled <= ((1 + REST_FACTOR) * took_ms + 2 * gap_ms) / gap_ms
--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -16,7 +16,7 @@
 from spokeroute.common.bounds import Bounds
 from spokeroute.common.ids import Ms
 from spokeroute.exchange.types import Tables, first_tables
-from spokeroute.register.replica.replica import InContact
+from spokeroute.register.replica.replica import MajorityContact
 from tests.sim.cluster import Sim, configuration
 from tests.sim.storms import ruling
 from tests.sim.world import Node
@@ -40,7 +40,7 @@
     honest = node.report
 
     def report(actor: str, event: object, born: int) -> None:
-        if type(event).__name__ != "Compiled":
+        if type(event).__name__ != "CompileResult":
             honest(actor, event, born)
 
     node.report = report  # type: ignore[method-assign]
@@ -99,7 +99,7 @@
 
 
 def fresh(tables: Tables, since_ms: int, at_ms: int) -> bool:
-    heard = replace(tables, contact=InContact(Ms(since_ms), Ms(at_ms)))
+    heard = replace(tables, contact=MajorityContact(Ms(since_ms), Ms(at_ms)))
     return heard.fresh(at_ms)
 
 
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -13,8 +13,8 @@
 from spokeroute.common.ids import FLOOR, Incarnation, Ms, NodeId
 from spokeroute.figures import Figures, Work, WorkCounter, told
 from spokeroute.register.replica import replica
-from spokeroute.register.replica.overdue import overdue_text, proof_text
-from spokeroute.register.replica.state import Target
+from spokeroute.register.replica.diagnostics import overdue_proof_message, proof_summary
+from spokeroute.register.replica.state import PendingProof
 from spokeroute.transport.messages import ProbeAck
 from spokeroute.transport.traffic import Traffic, TrafficCounter
 from tests.sim.cluster import Sim
@@ -51,10 +51,12 @@
 def test_a_value_that_is_missing_is_named(sim: Sim) -> None:
     sim.settle()
     state = sim.exchanges[0].state("replica")
-    here = state.here[FLOOR].copy.version
-    newer = replace(state.here[FLOOR].copy, version=here + 1, digest="other")
-    target = Target(Ms(state.proved_ms + 400), Map({FLOOR: newer}))
-    text = overdue_text(replace(state, targets=(target,)), Ms(state.proved_ms + 2_500))
+    here = state.local_copies[FLOOR].copy.version
+    newer = replace(state.local_copies[FLOOR].copy, version=here + 1, digest="other")
+    target = PendingProof(Ms(state.proved_ms + 400), Map({FLOOR: newer}))
+    text = overdue_proof_message(
+        replace(state, pending_proofs=(target,)), Ms(state.proved_ms + 2_500)
+    )
     assert f"not here: {FLOOR} {here + 1} (here: {here})" in text
 
 
@@ -120,7 +122,7 @@
     life = Incarnation(1)
     after, _ = replica.step(state, From(NodeId("m1"), life, forgotten), node.now_ms())
     assert after.late_answers == before + 1
-    assert f"late_answers={before + 1}" in proof_text(after, node.now_ms())
+    assert f"late_answers={before + 1}" in proof_summary(after, node.now_ms())
 
 
 def test_the_figures_tell_how_old_the_proof_is(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_full_days.py
+++ b/tests/test_full_days.py
@@ -89,7 +89,7 @@
     assert node.disk is not None
     member = node.disk.member
     return all(
-        other.state("membership").signs[member].writable == writable
+        other.state("membership").peer_statuses[member].writable == writable
         for other in sim.registries
         if other is not node and other.alive
     )
--- a/tests/test_going_on.py
+++ b/tests/test_going_on.py
@@ -31,7 +31,7 @@
 
 
 def versions(node: Node) -> dict[str, int]:
-    return {name: got.copy.version for name, got in node.state("replica").ruling.items()}
+    return {name: got.copy.version for name, got in node.state("replica").in_force.items()}
 
 
 def watched(sim: Sim) -> Generator[Any, Any, None]:
--- a/tests/test_late_answers.py
+++ b/tests/test_late_answers.py
@@ -151,7 +151,7 @@
         held = tuple(
             HeldReport(f"i{number}", now_ms, 0, 0, True, False, False, 0) for number in range(3)
         )
-        reports = Reports(held, (), within_ms=within_ms)
+        reports = Reports(held, (), probe_within_ms=within_ms)
         for event in (*core.due(now_ms), reports, Tick()):
             state, effects = replica.step(state, event, Ms(now_ms))
             core.hear(effects, now_ms)
@@ -166,7 +166,7 @@
 
 def test_a_value_that_comes_with_a_late_answer_is_kept() -> None:
     state = play(asker(), Core(700, version=7), 1_000, 2_000)
-    assert state.here[FLOOR].copy.version == 7
+    assert state.local_copies[FLOOR].copy.version == 7
 
 
 def test_a_member_that_is_behind_the_others_is_not_asked_for_values_again_and_again() -> None:
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -234,9 +234,9 @@
     assert next_roster(early) is None
     new = next_roster(late)
     assert new is not None and new.ids == ("m0", "m1", "b2") and new.joining == ("b2",)
-    assert next_roster(sight({"m1": signs["m1"], "m2": late.signs["m2"]})) is None
+    assert next_roster(sight({"m1": signs["m1"], "m2": late.peer_statuses["m2"]})) is None
     blank = {**signs, "b2": unwritable("b2", 5_000, blank=True)}
-    assert next_roster(sight({**blank, "m2": late.signs["m2"]})) is None
+    assert next_roster(sight({**blank, "m2": late.peer_statuses["m2"]})) is None
 
 
 def test_nothing_else_changes_while_a_member_takes_no_writes() -> None:
--- a/tests/test_named_copies.py
+++ b/tests/test_named_copies.py
@@ -11,7 +11,12 @@
 
 from spokeroute.common.ids import SPREAD
 from spokeroute.common.replacing import replace
-from spokeroute.register.replica.named_copies import FINGERPRINT_BYTES, filled, fingerprints, unlike
+from spokeroute.register.replica.copy_fingerprints import (
+    FINGERPRINT_BYTES,
+    fingerprints,
+    with_named_copies,
+    without_known_copies,
+)
 from spokeroute.transport.frames import Envelope, encode
 from spokeroute.transport.messages import Copy, ProbeAck
 from tests.sim.cluster import Sim
@@ -35,8 +40,8 @@
 def test_what_a_member_has_is_what_the_asker_reads(
     named: tuple[Copy, ...], has: tuple[Copy, ...]
 ) -> None:
-    told = unlike(fingerprints(by_name(named)), has)
-    assert by_name(filled(by_name(named), told)) == by_name(has)
+    told = without_known_copies(fingerprints(by_name(named)), has)
+    assert by_name(with_named_copies(by_name(named), told)) == by_name(has)
     assert {copy.name for copy in told} == {
         one.name for one, other in zip(has, named, strict=True) if one != other
     }
@@ -45,12 +50,12 @@
 @pytest.mark.parametrize("named", [b"", b"short", bytes(FINGERPRINT_BYTES * len(SPREAD) + 1)])
 def test_what_cannot_be_read_as_fingerprints_names_nothing(named: bytes) -> None:
     has = tuple(Copy(name, 1, "d", 1, "m1") for name in SPREAD)
-    assert unlike(named, has) == has
+    assert without_known_copies(named, has) == has
 
 
 def test_an_answer_without_news_is_short() -> None:
     has = tuple(Copy(name, 9, "d" * 64, 1_000, "m-123456") for name in SPREAD)
-    told = unlike(fingerprints(by_name(has)), has)
+    told = without_known_copies(fingerprints(by_name(has)), has)
     ack = ProbeAck(1, 1, told, (), ())
     long = len(encode(Envelope("m1", 1, "h:1", "e1", replace(ack, copies=has))))
     short = len(encode(Envelope("m1", 1, "h:1", "e1", ack)))
@@ -70,7 +75,9 @@
         assert sim.up_to(partial(_is_done, told), 6_000)
         node.start()
         sim.run(3_000)
-        versions = {e.state("replica").ruling["configuration"].copy.version for e in sim.exchanges}
+        versions = {
+            e.state("replica").in_force["configuration"].copy.version for e in sim.exchanges
+        }
         assert len(versions) == 1
     sim.close()
 
--- a/tests/test_numbers.py
+++ b/tests/test_numbers.py
@@ -26,15 +26,15 @@
 from spokeroute.register.acceptor.ageing import CLAIM_KEEP_MS
 from spokeroute.register.cells import Cell, Roster
 from spokeroute.register.changes import Ask, Outcome, Read, Settled
-from spokeroute.register.numbers import (
+from spokeroute.register.configuration_numbers import (
+    MAX_KEPT_NUMBERS,
     NUMBER_KEEP_MS,
-    NUMBERS_KEPT,
-    Bind,
+    BindNumber,
     HighestWins,
-    is_number,
+    is_number_register,
 )
-from spokeroute.register.replica.replica import Fresh
-from spokeroute.register.stamps import NUMBER
+from spokeroute.register.replica.replica import FreshCopies
+from spokeroute.register.value_metadata import NUMBER
 from spokeroute.registry import operator
 from spokeroute.registry.operator import Apply
 from spokeroute.transport.messages import Prepare
@@ -94,7 +94,7 @@
 def test_a_number_is_bound_before_the_configuration_is_written() -> None:
     state, effects = operator.step(operator.State("m1"), order("a"), Ms(0))
     bind = asked(effects)
-    assert (bind.register, bind.change) == (number_register(70), Bind("a"))
+    assert (bind.register, bind.change) == (number_register(70), BindNumber("a"))
     state, effects = settle(state, bind, b"a")
     write = asked(effects)
     assert (write.register, write.change) == (CONFIGURATION, HighestWins(order("a").value))
@@ -139,7 +139,7 @@
 
 
 def kept(state: acceptor.State) -> list[str]:
-    return sorted(n for n in state.cells if is_number(n))
+    return sorted(n for n in state.cells if is_number_register(n))
 
 
 def aged(numbers: int, in_force: int, wait_ms: int = NUMBER_KEEP_MS + 20_000) -> acceptor.State:
@@ -148,31 +148,31 @@
     cells: Map[str, Cell] = Map({str(number_register(n)): cell for n in range(1, numbers + 1)})
     state = acceptor.start(MemberId("m1"), None, True, cells)
     state, _ = acceptor.step(state, Tick(0), Ms(0))
-    fresh = Fresh(Ms(0), {}, {}, None, True, number=in_force)
+    fresh = FreshCopies(Ms(0), {}, {}, None, True, number=in_force)
     state, _ = acceptor.step(state, fresh, Ms(10))
     state, _ = acceptor.step(state, Tick(0), Ms(wait_ms))
     return state
 
 
 def test_a_member_keeps_the_newest_numbers() -> None:
-    state = aged(NUMBERS_KEPT + 5, NUMBERS_KEPT + 5)
-    assert kept(state) == [number_register(n) for n in range(6, NUMBERS_KEPT + 6)]
+    state = aged(MAX_KEPT_NUMBERS + 5, MAX_KEPT_NUMBERS + 5)
+    assert kept(state) == [number_register(n) for n in range(6, MAX_KEPT_NUMBERS + 6)]
     assert state.writing is not None and len(state.writing.drops) == 5
-    assert len(kept(aged(NUMBERS_KEPT, NUMBERS_KEPT))) == NUMBERS_KEPT
+    assert len(kept(aged(MAX_KEPT_NUMBERS, MAX_KEPT_NUMBERS))) == MAX_KEPT_NUMBERS
 
 
 def test_no_number_at_or_above_the_one_in_force_is_let_go() -> None:
     """Thousands were bound above it and never came in force."""
-    assert kept(aged(NUMBERS_KEPT + 5, 3))[0] == number_register(3)
-    assert kept(aged(NUMBERS_KEPT + 5, 0))[0] == number_register(1)
+    assert kept(aged(MAX_KEPT_NUMBERS + 5, 3))[0] == number_register(3)
+    assert kept(aged(MAX_KEPT_NUMBERS + 5, 0))[0] == number_register(1)
 
 
 def test_a_number_that_a_round_is_at_is_not_let_go() -> None:
-    assert len(kept(aged(NUMBERS_KEPT + 5, 9_000, NUMBER_KEEP_MS - 10))) == NUMBERS_KEPT + 5
-    cells = aged(NUMBERS_KEPT + 5, 9_000, 10).cells
+    assert len(kept(aged(MAX_KEPT_NUMBERS + 5, 9_000, NUMBER_KEEP_MS - 10))) == MAX_KEPT_NUMBERS + 5
+    cells = aged(MAX_KEPT_NUMBERS + 5, 9_000, 10).cells
     roster = Roster(Epoch(1), ((MemberId("m1"), Address("10.0.0.1:1")),))
     state = acceptor.start(MemberId("m1"), roster, True, cells)
-    state, _ = acceptor.step(state, Fresh(Ms(0), {}, {}, None, True, number=9_000), Ms(0))
+    state, _ = acceptor.step(state, FreshCopies(Ms(0), {}, {}, None, True, number=9_000), Ms(0))
     state, _ = acceptor.step(state, Tick(0), Ms(0))
     late = Prepare(1, number_register(2), 9, "m2")
     state, _ = acceptor.step(state, From(NodeId("m2"), Incarnation(1), late), Ms(70_000))
@@ -364,7 +364,7 @@
 
 def test_the_judge_speaks_of_two_contents(sim: Sim, monkeypatch: pytest.MonkeyPatch) -> None:
     """Planted: whoever binds last has the number."""
-    monkeypatch.setattr(Bind, "decide", lambda self, version, value: self.content.encode())
+    monkeypatch.setattr(BindNumber, "decide", lambda self, version, value: self.content.encode())
     ready(sim)
     assert [sent(sim, name, 70, 1).status for name in ("a", "b")] == [200, 200]
     assert any("2 contents" in text for text in one_content_a_number(sim.log()))
--- a/tests/test_old_lives.py
+++ b/tests/test_old_lives.py
@@ -265,7 +265,7 @@
         asked = state
         for member in MEMBERS[:2]:
             asked, _ = replica.step(asked, From(member, LIFE, ack(nonce, 3, epoch)), Ms(1_010))
-        assert (asked.target_ms == Ms(1_000)) == proves
+        assert (asked.latest_agreed_ms == Ms(1_000)) == proves
 
 
 def test_a_ledger_acknowledgement_of_an_earlier_life_counts_for_nothing() -> None:
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -23,15 +23,15 @@
 from spokeroute.dispatch.configuration.validation import check_regions
 from spokeroute.dispatch.placement.table import Mark, pack_evacuated, unpack_evacuated
 from spokeroute.http.wsgi import respond, serve
-from spokeroute.register.numbers import MAX_NUMBER
-from spokeroute.register.stamps import (
+from spokeroute.register.configuration_numbers import MAX_NUMBER
+from spokeroute.register.value_metadata import (
     NUMBER,
     ORDERS_KEPT,
+    AppliedOrder,
     ApplyOnce,
-    Made,
-    made_of,
+    applied_orders,
     number_of,
-    stamped,
+    with_metadata,
 )
 from spokeroute.registry.headers import asked_id, asked_number, expected_version
 from tests.sim.acts import after
@@ -93,7 +93,7 @@
         value = ApplyOnce(version, f"a{version}", "c", NUMBER.pack(0) + b"body").decide(
             version, value
         ) or pytest.fail("not written")
-    made = made_of(value)
+    made = applied_orders(value)
     assert [m.version for m in made] == list(range(7, ORDERS_KEPT + 7))
     assert len(value) < 3_000
     assert ApplyOnce(70, "a69", "c", NUMBER.pack(0)).decide(70, value) is None
@@ -101,7 +101,7 @@
 
 def test_an_unnumbered_apply_leaves_the_number(sim: Sim) -> None:
     """An old order under a lower number, sent again after it, alters nothing."""
-    assert number_of(stamped(NUMBER.pack(0) + b"x", NUMBER.pack(70) + b"y")) == 70
+    assert number_of(with_metadata(NUMBER.pack(0) + b"x", NUMBER.pack(70) + b"y")) == 70
     ready(sim)
     assert sent(sim, "sixty", 60).status == 200
     assert sent(sim, "seventy", 70).status == 200
@@ -147,7 +147,7 @@
 
 def test_the_form_of_before_is_read() -> None:
     assert unpack_evacuated(b'["north"]') == {"north"}
-    assert unpack_evacuated(pack_evacuated(frozenset({"a"}), (Made("x", 1),))) == {"a"}
+    assert unpack_evacuated(pack_evacuated(frozenset({"a"}), (AppliedOrder("x", 1),))) == {"a"}
 
 
 # the operator's client
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -16,7 +16,7 @@
 from spokeroute.ledger.writer import LedgerFailed, LedgerWrite, LedgerWritten
 from spokeroute.register.acceptor import acceptor
 from spokeroute.register.acceptor.acceptor import Adopt, Adopted, TakeCells
-from spokeroute.register.anti_entropy.cell_index import CatchUp
+from spokeroute.register.anti_entropy.cell_index import CellsReloaded
 from spokeroute.register.cells import Cell, Roster, digest_of
 from spokeroute.register.disk.store import (
     DiskDone,
@@ -27,7 +27,7 @@
     StoreReopened,
     StoreWritable,
 )
-from spokeroute.register.membership.held import HandTo
+from spokeroute.register.membership.accepted_copies import HandOverCopy
 from spokeroute.transport.messages import (
     Accept,
     Accepted,
@@ -100,7 +100,7 @@
     state, effects = acceptor.step(state, peer(CopyAsk(3, "")), Ms(1_010))
     (part,) = sent(effects)
     assert isinstance(part, CopyPart) and [c.value for c in part.cells] == [b"old"]
-    state, effects = acceptor.step(state, HandTo(OTHER, OLD.copy(NAME)), Ms(1_010))
+    state, effects = acceptor.step(state, HandOverCopy(OTHER, OLD.copy(NAME)), Ms(1_010))
     assert sent(effects) == [HandOver(3, OLD.copy(NAME), b"old")]
     assert state == failed
 
@@ -147,7 +147,7 @@
     state, _ = acceptor.step(failed, Tick(), Ms(2_000))
     new = replace(OLD, value=b"new", version=8, digest=digest_of(b"new"))
     state, effects = acceptor.step(state, StoreReopened(newer, True, Map({NAME: new})), Ms(2_001))
-    whole = CatchUp(Map({NAME: new}), newer, True)
+    whole = CellsReloaded(Map({NAME: new}), newer, True)
     assert told(effects) == [StoreWritable(True), whole, Adopted(newer, True)]
     assert not state.failed and state.epoch == 4 and state.synced[NAME] == new
 
--- a/tests/test_own_names.py
+++ b/tests/test_own_names.py
@@ -23,7 +23,7 @@
 from spokeroute.exchange.entry import HeldNow
 from spokeroute.exchange.held_instance import CONNECT_WAIT_MS
 from spokeroute.exchange.types import SendAttempt
-from spokeroute.register.replica.replica import Fresh
+from spokeroute.register.replica.replica import FreshCopies
 from spokeroute.transport.call_messages import (
     Forward,
     Forwarded,
@@ -161,7 +161,9 @@
     booting = placed("a", "w1", state=STARTING, warm=True, routed=False, limit=1, identity="i-1")
     state = holder.State(NodeId("ex1"), 1)
     now_ms = Ms(1_000)
-    fresh = Fresh(now_ms, {}, {"floor": pack_floor(Floor(Term(1), 1, (booting,)))}, TABLE, True)
+    fresh = FreshCopies(
+        now_ms, {}, {"floor": pack_floor(Floor(Term(1), 1, (booting,)))}, TABLE, True
+    )
     state, _ = holder.step(state, fresh, now_ms)
     forwards = [
         Forward(f"c{i}.0", "s", "a", 1, "GET", "/x", (), b"", wait_ms, "")
--- a/tests/test_patches.py
+++ b/tests/test_patches.py
@@ -31,9 +31,9 @@
 from spokeroute.dispatch.placement.table import UP, Floor, Placed, pack_floor, unpack_floor
 from spokeroute.register.acceptor.earlier_values import KEPT_BYTES, KEPT_VALUES, EarlierValues
 from spokeroute.register.cells import digest_of
-from spokeroute.register.packed import pack
+from spokeroute.register.packing import pack
 from spokeroute.register.patches import apply_patch, make_patch, runs_of
-from spokeroute.register.stamps import NUMBER, Made, number_of, stamped
+from spokeroute.register.value_metadata import NUMBER, AppliedOrder, number_of, with_metadata
 from spokeroute.transport.messages import Copy, ValuePatch
 from tests.sim.storms import wide
 
@@ -83,8 +83,8 @@
 
 def test_a_change_of_one_route_takes_a_fraction_of_the_configuration() -> None:
     """Also with the orders that are remembered behind it, and the number before it."""
-    base = stamped(configured(7, 4_000), b"", Made("order-7", 1, "c1"))
-    value = stamped(configured(9, 5_000), base, Made("order-9", 2, "c2"))
+    base = with_metadata(configured(7, 4_000), b"", AppliedOrder("order-7", 1, "c1"))
+    value = with_metadata(configured(9, 5_000), base, AppliedOrder("order-9", 2, "c2"))
     patch = patched(CONFIGURATION, base, value)
     got = apply_patch(patch, base)
     assert got == value and number_of(got) == 9
--- a/tests/test_planned_leave.py
+++ b/tests/test_planned_leave.py
@@ -12,14 +12,14 @@
 from spokeroute.common.effects import From, Tell
 from spokeroute.common.ids import Ballot, Incarnation, MemberId, Ms, NodeId
 from spokeroute.register.cells import Cell, digest_of
-from spokeroute.register.membership import handover, held
-from spokeroute.register.membership.held import Quiet
+from spokeroute.register.membership import accepted_copies, handover
+from spokeroute.register.membership.accepted_copies import SuspendAccepts
 from spokeroute.register.membership.policy import (
     TURN_MS,
     PeerStatus,
+    leaver_replacement,
     lost_disks,
     next_roster,
-    succession,
 )
 from spokeroute.transport.messages import Copy, HeldAsk, HeldPart
 from tests.sim.acts import after, holder_of
@@ -280,7 +280,9 @@
 def test_a_leaver_is_replaced_by_a_blank_one_that_has_just_come() -> None:
     blank = replace(sign("b1", 19_900, True), since_ms=Ms(19_900))
     seen = sight({"m1": sign("m1", 19_900), "m2": leaving("m2", 19_400), "b1": blank})
-    assert succession(seen) == {"m2": "b1"} and next_roster(seen) is None  # m2's turn is first
+    assert (
+        leaver_replacement(seen) == {"m2": "b1"} and next_roster(seen) is None
+    )  # m2's turn is first
     new = next_roster(replace(seen, now_ms=Ms(20_000 + TURN_MS)))
     assert new is not None and new.ids == ("m0", "m1", "b1") and new.joining == ("b1",)
 
@@ -317,18 +319,18 @@
     assert lost_disks(early) == {"m2": "b1"} and next_roster(early) is None
     late = replace(early, epoch_ms=Ms(20_000 - CATCH_UP_MS))
     assert next_roster(late) is not None
-    full = replace(early, signs={**signs, "m1": replace(signs["m1"], writable=False)})
+    full = replace(early, peer_statuses={**signs, "m1": replace(signs["m1"], writable=False)})
     assert next_roster(full) is not None
 
 
 def test_many_registers_are_compared_page_by_page(monkeypatch: pytest.MonkeyPatch) -> None:
     """The pages join without a gap, and the last one says that it is."""
-    monkeypatch.setattr(held, "HELD_PAGE_CELLS", 3)
+    monkeypatch.setattr(accepted_copies, "PAGE_REGISTERS", 3)
     cells = {f"r{n}": Cell(accepted=Ballot(n, MemberId("m1"))) for n in range(1, 8)}
     after_ = ""
     got: list[Copy] = []
     while True:
-        page = held.held_page(cells, HeldAsk(4, after_))
+        page = accepted_copies.ballots_page(cells, HeldAsk(4, after_))
         got += page.copies
         after_ = page.last
         if not after_:
@@ -338,7 +340,7 @@
 
 def test_a_late_part_of_an_earlier_comparison_is_not_counted() -> None:
     m1, m2 = MemberId("m1"), MemberId("m2")
-    state, _ = handover.step(handover.State(m1), handover.Hand((m2,)), Ms(0))
+    state, _ = handover.step(handover.State(m1), handover.StartHandover((m2,)), Ms(0))
     for node in (m1, m2):
         stale = From(NodeId(node), Incarnation(1), HeldPart(state.nonce - 1, "", (), ""))
         state, effects = handover.step(state, stale, Ms(1))
@@ -346,4 +348,6 @@
     for node in (m1, m2):
         part = From(NodeId(node), Incarnation(1), HeldPart(state.nonce, "", (), ""))
         state, effects = handover.step(state, part, Ms(2))
-    assert Tell("acceptor", Quiet(True)) in effects and not state.done  # once more, in quiet
+    assert (
+        Tell("acceptor", SuspendAccepts(True)) in effects and not state.done
+    )  # once more, in quiet
--- a/tests/test_proofs.py
+++ b/tests/test_proofs.py
@@ -20,8 +20,8 @@
 )
 from spokeroute.register.cells import Roster, digest_of
 from spokeroute.register.replica import replica
-from spokeroute.register.replica.replica import Compiled, State
-from spokeroute.register.stamps import NUMBER, stamped
+from spokeroute.register.replica.replica import CompileResult, State
+from spokeroute.register.value_metadata import NUMBER, with_metadata
 from spokeroute.transport.messages import Copy, FetchGot, Finish, Probe, ProbeAck
 from tests.named_tables import LIFE, NOTHING, copy_of, table
 
@@ -56,7 +56,7 @@
 
 
 def ruling(state: State) -> int:
-    got = state.ruling.get(FLOOR)
+    got = state.in_force.get(FLOOR)
     return got.copy.version if got else 0
 
 
@@ -71,7 +71,7 @@
         if number:
             state = came(state, number, at_ms + 10)
             assert (state.proved_ms, ruling(state)) == (at_ms - 400, number)
-    assert len(state.targets) == 1
+    assert len(state.pending_proofs) == 1
 
 
 def test_a_value_that_is_newer_than_the_answer_does_not_hide_the_one_that_was_named() -> None:
@@ -94,7 +94,7 @@
     assert (state.proved_ms, ruling(state)) == (1_400, 4)
     state = came(state, 3, 1_420)
     assert (state.proved_ms, ruling(state)) == (1_400, 4)
-    assert state.targets == () and state.ruling == Map({FLOOR: state.ruling[FLOOR]})
+    assert state.pending_proofs == () and state.in_force == Map({FLOOR: state.in_force[FLOOR]})
 
 
 def differ(state: State, nonce: int, versions: tuple[int, int], at_ms: int) -> list[str]:
@@ -138,7 +138,7 @@
 
 
 def document(version: int) -> bytes:
-    return stamped(NUMBER.pack(0), NUMBER.pack(version))
+    return with_metadata(NUMBER.pack(0), NUMBER.pack(version))
 
 
 def configuration(version: int) -> Copy:
@@ -155,7 +155,7 @@
 
 
 def compiled(state: State, version: int, at_ms: int) -> State:
-    done = Compiled(configuration(version), document(version), object())
+    done = CompileResult(configuration(version), document(version), object())
     return replica.step(state, done, Ms(at_ms))[0]
 
 
@@ -163,10 +163,10 @@
 def test_a_configuration_rules_though_no_table_of_its_question_is_here(places: bool) -> None:
     """The tables changed ten times while it was compiled: it never ruled, where a question proved
     only once all that it named was here."""
-    state, nonce = asked(replace(begun(), floor_waits=places), 1_000)
+    state, nonce = asked(replace(begun(), floor_needs_configuration=places), 1_000)
     state = named(state, nonce, 1_005, 5, 1)
     state = compiled(state, 1, 1_300)
-    assert state.ruling[CONFIGURATION].copy.version == 1 and state.proved_ms == -1
+    assert state.in_force[CONFIGURATION].copy.version == 1 and state.proved_ms == -1
     state, nonce = asked(state, 1_400)
     state = named(state, nonce, 1_405, 9, 1)
     state = came(state, 9, 1_410)
@@ -176,12 +176,12 @@
 @pytest.mark.parametrize("places", [False, True])
 def test_who_places_goes_by_no_table_beside_an_older_configuration(places: bool) -> None:
     """It would stop the instances of services that its configuration lacks."""
-    state, nonce = asked(replace(begun(), floor_waits=places), 1_000)
+    state, nonce = asked(replace(begun(), floor_needs_configuration=places), 1_000)
     state = compiled(came(named(state, nonce, 1_005, 5, 1), 5, 1_006), 1, 1_007)
     assert (state.proved_ms, ruling(state)) == (1_000, 5)
     state, nonce = asked(state, 1_400)
     state = came(named(state, nonce, 1_405, 6, 2), 6, 1_410)
-    assert state.ruling[CONFIGURATION].copy.version == 1
+    assert state.in_force[CONFIGURATION].copy.version == 1
     assert ruling(state) == (5 if places else 6)
     assert state.proved_ms == 1_000
     state = compiled(state, 2, 1_500)
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -14,7 +14,7 @@
 from spokeroute.common.settings import Settings, SettingsError, check_settings, read_settings
 from spokeroute.register.cells import Roster
 from spokeroute.register.replica import replica
-from spokeroute.register.replica.value_asks import ValueAsks, bringers
+from spokeroute.register.replica.value_requests import ValueRequests, value_sources
 from spokeroute.transport import peers
 from spokeroute.transport.messages import Copy, Probe, ProbeAck, ViewEntry
 from spokeroute.transport.process import Me
@@ -39,7 +39,7 @@
 def test_values_come_from_the_own_zone_then_the_own_region() -> None:
     members = tuple(NodeId(f"m-{zone}") for zone in REGIONS)
     zones = {f"m-{zone}": zone for zone in REGIONS}
-    order = bringers(members, zones, Places("b2", REGIONS), "h:1")
+    order = value_sources(members, zones, Places("b2", REGIONS), "h:1")
     assert order[:2] == ("m-b2", "m-b1")
 
 
@@ -145,9 +145,9 @@
         places=Places("a1", REGIONS),
         proved_ms=Ms(1_400),
         turn_ms=Ms(1_400),
-        asks=ValueAsks(heard_ms=Ms(1_400)),
+        value_requests=ValueRequests(heard_ms=Ms(1_400)),
         all_probed_ms=Ms(1_400),
-        reports=replica.Reports((), (), within_ms=within_ms, placement=NodeId("m-b1")),
+        reports=replica.Reports((), (), probe_within_ms=within_ms, placement=NodeId("m-b1")),
     )
 
 
--- a/tests/test_report_changes.py
+++ b/tests/test_report_changes.py
@@ -10,7 +10,7 @@
 
 from spokeroute.common.ids import Incarnation, Ms
 from spokeroute.dispatch.placement.reports import Reported, reported
-from spokeroute.register.replica.report_changes import MOST_GONE, WHOLE, ReportChanges
+from spokeroute.register.replica.report_changes import FULL_REPORT, MAX_REMOVED, ReportChanges
 from spokeroute.transport.messages import HeldReport, Probe
 from tests.sim.cluster import Sim
 from tests.sim.world import Node
@@ -101,16 +101,16 @@
     changes = ReportChanges().noted((report("a"),), 1).answered(MEMBER, Incarnation(1), 1, 1)
     changes = changes.noted((report("a"),), 2).noted((report("a"),), 3)
     changes = changes.answered(MEMBER, Incarnation(2), 2, 3).answered(MEMBER, Incarnation(2), 3, 3)
-    assert changes.base(MEMBER) == WHOLE
+    assert changes.base(MEMBER) == FULL_REPORT
     changes = changes.noted((report("a"),), 4).answered(MEMBER, Incarnation(2), 4, 4)
     assert changes.base(MEMBER) == 4
 
 
 def test_what_is_held_no_more_is_forgotten_in_bounds() -> None:
     changes = ReportChanges().noted((), 1).answered(MEMBER, Incarnation(1), 1, 1)
-    for number in range(2, MOST_GONE + 10):
+    for number in range(2, MAX_REMOVED + 10):
         changes = changes.noted((report(f"i{number}"),), number)
-    assert len(changes.gone) <= MOST_GONE and changes.base(MEMBER) == WHOLE
+    assert len(changes.gone) <= MAX_REMOVED and changes.base(MEMBER) == FULL_REPORT
 
 
 def test_every_member_knows_what_exchanges_hold(sim: Sim) -> None:
--- a/tests/test_switches.py
+++ b/tests/test_switches.py
@@ -19,7 +19,7 @@
 from spokeroute.dispatch.scaling.scaler import Demand, spares_of, wanted_of
 from spokeroute.exchange.entry import State, expect_ms, listed
 from spokeroute.nodes import Start, build_exchange
-from spokeroute.register.replica.compile_queue import RESTS
+from spokeroute.register.replica.compile_queue import REST_FACTOR
 from spokeroute.transport.list_messages import Lists, Successors
 from spokeroute.transport.messages import DemandReport
 from spokeroute.transport.process import Me
@@ -131,7 +131,7 @@
     me = Me(NodeId("ex1"), Incarnation(1), Address("10.0.0.1:1"), "exchange", "north")
     process = build_exchange(me, NoWorld(), Start((), 1, switches=switches))  # type: ignore[arg-type]
     assert process.actors["replica"].state.compiles.rests == (
-        RESTS if switches.compile_rests else 0
+        REST_FACTOR if switches.compile_rests else 0
     )
     state = process.actors["calls"].state
     process.close()
--- a/tests/test_table_reader.py
+++ b/tests/test_table_reader.py
@@ -18,8 +18,8 @@
     read_configuration,
 )
 from spokeroute.dispatch.configuration.models import Route, Service
-from spokeroute.register.packed import pack
-from spokeroute.register.stamps import NUMBER, Made, stamped
+from spokeroute.register.packing import pack
+from spokeroute.register.value_metadata import NUMBER, AppliedOrder, with_metadata
 
 NAMES = [f"s{number}" for number in range(6)]
 HOSTS = ("", "a.example", "b.example")
@@ -98,10 +98,9 @@
 
 def test_orders_behind_the_packed_part_change_nothing() -> None:
     value = value_of(3, 1_000)
-    assert stamped(value, value, Made("o1", 1)) != value
-    assert build_table(Version(1), "", stamped(value, value, Made("o1", 1))).services.keys() == {
-        "f0", "f1", "f2",
-    }  # fmt: skip
+    ordered = with_metadata(value, value, AppliedOrder("o1", 1))
+    assert ordered != value
+    assert build_table(Version(1), "", ordered).services.keys() == {"f0", "f1", "f2"}
 
 
 def test_a_value_of_an_earlier_release_is_read_whole() -> None:
--- a/tools/model/actions.py
+++ b/tools/model/actions.py
@@ -19,7 +19,7 @@
 from spokeroute.register.cells import unpack_roster
 from spokeroute.register.changes import Ask
 from spokeroute.register.disk.store import DiskWrite
-from spokeroute.register.membership.leave import Leave, Standing
+from spokeroute.register.membership.leave import Leave, LeaveStatus
 from spokeroute.transport import messages as m
 from tools.model.disk import Disk
 from tools.model.history import asked, left_whole
@@ -285,8 +285,10 @@
 
 def _may_end(member: Member) -> bool:
     """What the registry's process asks before it ends, without the time."""
-    standing = member.membership.standing
-    free = standing is Standing.FREE or (standing is Standing.HANDING and member.handover.done)
+    standing = member.membership.leave_status
+    free = standing is LeaveStatus.MAY_STOP or (
+        standing is LeaveStatus.HANDING_OVER and member.handover.done
+    )
     return member.membership.leaving and member.pending is None and free
 
 
@@ -296,7 +298,7 @@
         return None
     staying = member.handover.members or ()
     disks = tuple(each.disk for each in world.members if each.id in staying)
-    if member.membership.standing is Standing.HANDING and staying:
+    if member.membership.leave_status is LeaveStatus.HANDING_OVER and staying:
         left_whole(world.history, member.id, disks)
     return with_member(world, slot, replace(member, ended=True))
 
--- a/tools/model/patches_membership.py
+++ b/tools/model/patches_membership.py
@@ -52,9 +52,9 @@
     def copy(state: Any, now_ms: Any) -> Any:
         if state.roster is None:
             return real_copy(state, now_ms)
-        moved = {n: replace(s, epoch=state.roster.epoch) for n, s in state.signs.items()}
-        after, effects = real_copy(replace(state, signs=Map(moved)), now_ms)
-        return replace(after, signs=state.signs), effects
+        moved = {n: replace(s, epoch=state.roster.epoch) for n, s in state.peer_statuses.items()}
+        after, effects = real_copy(replace(state, peer_statuses=Map(moved)), now_ms)
+        return replace(after, peer_statuses=state.peer_statuses), effects
 
     return ((acceptor, "step", step), (membership, "_copy", copy))
 
@@ -150,8 +150,8 @@
     real = membership._found
 
     def faulty(state: Any, now_ms: Any) -> Any:
-        blank = {n: replace(s, blank=True) for n, s in state.signs.items()}
-        return real(replace(state, signs=Map(blank)), now_ms)
+        blank = {n: replace(s, blank=True) for n, s in state.peer_statuses.items()}
+        return real(replace(state, peer_statuses=Map(blank)), now_ms)
 
     return ((membership, "_found", faulty),)
 
@@ -165,9 +165,9 @@
     real = membership._found
 
     def faulty(state: Any, now_ms: Any) -> Any:
-        all_of_them = tuple(sorted({state.me, *state.signs}))
-        signs = {n: replace(s, hears=all_of_them) for n, s in state.signs.items()}
-        return real(replace(state, signs=Map(signs)), now_ms)
+        all_of_them = tuple(sorted({state.me, *state.peer_statuses}))
+        signs = {n: replace(s, hears=all_of_them) for n, s in state.peer_statuses.items()}
+        return real(replace(state, peer_statuses=Map(signs)), now_ms)
 
     return ((membership, "_found", faulty),)
 
