--- a/spokeroute/register/replica/__init__.py
+++ b/spokeroute/register/replica/__init__.py
@@ -1,1 +1,1 @@
-"""The replica: copies of the spread registers at every node, and the proof that they are newest."""
+"""Replica: local copies of the replicated registers, and proofs that they are the newest."""
--- a/spokeroute/register/replica/compile_jobs.py
+++ b/spokeroute/register/replica/compile_jobs.py
@@ -1,4 +1,4 @@
-"""What the copies' core has done on an edge thread, and what comes of it."""
+"""The job that compiles a configuration on a worker thread, and its result."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CompileJob:
-    """A job for an edge thread: read a configuration into tables."""
+    """A job for a worker thread: build the tables of a configuration."""
 
     copy: Copy
     value: bytes
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CompileResult:
-    """The tables of a configuration."""
+    """The tables of a compiled configuration."""
 
     copy: Copy
     value: bytes
--- a/spokeroute/register/replica/copy_fingerprints.py
+++ b/spokeroute/register/replica/copy_fingerprints.py
@@ -1,9 +1,10 @@
-"""Copies that a question names, so that an answer need not repeat them.
+"""Fingerprints by which a probe names copies, so that an answer need not repeat them.
 
-Most answers to a probe name the same versions as the one before, and a copy takes 95 bytes. So a
-probe carries a fingerprint of each copy that was agreed on last; a member answers with those of its
-own that differ, and the asker fills in what it named itself. A ballot is drawn once and stands for
-one value, so equal fingerprints mean the very same accepted ballot, version and digest.
+Most answers to a probe report the same versions as the previous one, and a copy takes 95 bytes. A
+probe therefore carries a fingerprint of each copy that a majority last agreed on; a member answers
+only with its copies that differ, and the sender fills in those that it named itself. A ballot is
+used once and stands for one value, so equal fingerprints mean the same accepted ballot, version and
+digest.
 """
 
 from __future__ import annotations
@@ -17,12 +18,12 @@
 from spokeroute.transport.messages import Copy
 
 FINGERPRINT_BYTES = 8
-KEPT_FINGERPRINTS = 256
+CACHED_FINGERPRINTS = 256
 
 
-@lru_cache(maxsize=KEPT_FINGERPRINTS)
+@lru_cache(maxsize=CACHED_FINGERPRINTS)
 def fingerprint(copy: Copy) -> bytes:
-    """What stands for a copy in a probe.
+    """Returns the fingerprint of a copy.
 
     Example:
         >>> len(fingerprint(Copy("floor", 1, "ab", 2, "m1")))
@@ -33,7 +34,8 @@
 
 
 def fingerprints(named: Map[str, Copy]) -> bytes:
-    """The fingerprints of the spread registers' copies, in their order; empty unless all are known.
+    """Returns the fingerprints of the replicated registers' copies, in the order of ``SPREAD``;
+    empty unless all of them are known.
 
     Example:
         >>> fingerprints(Map())
@@ -45,7 +47,7 @@
 
 
 def without_known_copies(named: bytes, copies: tuple[Copy, ...]) -> tuple[Copy, ...]:
-    """A member's copies without those that the probe names alike.
+    """Returns a member's copies except those whose fingerprints the probe names.
 
     Example:
         >>> without_known_copies(b"", (Copy("floor", 1, "ab", 2, "m1"),))[0].name
@@ -61,19 +63,19 @@
 
 
 def with_named_copies(named: Map[str, Copy], copies: tuple[Copy, ...]) -> tuple[Copy, ...]:
-    """All copies of an answer: those that it names, and those that the probe named.
+    """Returns all copies of an answer: those that it contains, and those that the probe named.
 
     Example:
         >>> with_named_copies(Map(), ())
         ()
     """
-    told = {copy.name for copy in copies}
-    return (*copies, *(copy for name, copy in named.items() if name not in told))
+    answered = {copy.name for copy in copies}
+    return (*copies, *(copy for name, copy in named.items() if name not in answered))
 
 
-@lru_cache(maxsize=KEPT_FINGERPRINTS)
+@lru_cache(maxsize=CACHED_FINGERPRINTS)
 def absent_fingerprint(absent: tuple[str, ...]) -> bytes:
-    """What stands for a list of absent instances in a probe; nothing for an empty one.
+    """Returns the fingerprint of a list of absent instances; empty for an empty list.
 
     Example:
         >>> absent_fingerprint(())
--- a/spokeroute/register/replica/majority_contact.py
+++ b/spokeroute/register/replica/majority_contact.py
@@ -1,8 +1,9 @@
-"""Since when a process hears a majority of the core without a gap.
+"""Tracks since when this process has heard a majority of the core without interruption.
 
-Who hears no majority goes on by its last proof for long, as the core may be gone. Who does hear one
-can't claim that: where its configuration stays unproved all the same, something is wrong here, and
-an older configuration must not rule for longer than a change may take to be in force.
+A process that hears no majority keeps using its last proof for a long time, because the core may be
+down. A process that does hear a majority can't rely on that: if its configuration still stays
+unproved, the fault is on this side, and an outdated configuration must not stay in force for longer
+than a change may take to come into force.
 """
 
 from __future__ import annotations
@@ -13,22 +14,22 @@
 from spokeroute.common.replacing import replace
 from spokeroute.register.replica.state import Answer, MajorityContact, State
 
-GAP_MS = 2_000  # without a majority's answers for so long, contact was lost
-TOLD_EVERY_MS = 200
+CONTACT_TIMEOUT_MS = 2_000
+NOTICE_INTERVAL_MS = 200
 
 
 def hears_majority(answers: Iterable[Answer], majority: int, now_ms: Ms) -> bool:
-    """Whether a majority of the members was heard lately.
+    """Returns whether a majority of the members answered within the contact timeout.
 
     Example:
         >>> hears_majority((), 2, Ms(0))
         False
     """
-    return sum(1 for each in answers if now_ms - each.heard_ms <= GAP_MS) >= majority
+    return sum(1 for each in answers if now_ms - each.heard_ms <= CONTACT_TIMEOUT_MS) >= majority
 
 
 def with_answer(state: State, node: str, answer: Answer, majority: int) -> State:
-    """With a member's newest answer, and since when a majority is heard.
+    """Records a member's newest answer, and when contact with a majority began.
 
     Example:
         state = with_answer(state, "m1", answer, 3)
@@ -38,19 +39,22 @@
     answers = state.answers.set(node, answer)
     if before or not hears_majority(answers.values(), majority, now_ms):
         return replace(state, answers=answers)
-    return replace(state, answers=answers, contact_ms=now_ms)
+    return replace(state, answers=answers, contact_since_ms=now_ms)
 
 
-def told_contact(state: State, majority: int, now_ms: Ms) -> tuple[State, MajorityContact | None]:
-    """What whoever decides hears while the configuration stays unproved in spite of contact.
+def contact_notice(state: State, majority: int, now_ms: Ms) -> tuple[State, MajorityContact | None]:
+    """Returns the notice for the listeners while the configuration stays unproved for longer than
+    the lease although a majority is heard; None if none is due.
 
     Example:
-        state, told = told_contact(state, 3, now_ms)
+        state, notice = contact_notice(state, 3, now_ms)
     """
-    proved_ms = state.proved_of.get(CONFIGURATION, Ms(-1))
-    young = now_ms - proved_ms <= state.bounds.lease_ms
-    if proved_ms < 0 or young or now_ms - state.told_contact_ms < TOLD_EVERY_MS:
+    proved_ms = state.proved_ms_by_register.get(CONFIGURATION, Ms(-1))
+    recent = now_ms - proved_ms <= state.bounds.lease_ms
+    if proved_ms < 0 or recent or now_ms - state.contact_notified_ms < NOTICE_INTERVAL_MS:
         return state, None
     if not hears_majority(state.answers.values(), majority, now_ms):
         return state, None
-    return replace(state, told_contact_ms=now_ms), MajorityContact(state.contact_ms, now_ms)
+    return replace(state, contact_notified_ms=now_ms), MajorityContact(
+        state.contact_since_ms, now_ms
+    )
--- a/spokeroute/register/replica/probes.py
+++ b/spokeroute/register/replica/probes.py
@@ -1,4 +1,4 @@
-"""What a process asks the members of the core: whom, how often, and what goes along."""
+"""Builds the probes to the members of the core: to whom, how often, and with which reports."""
 
 from __future__ import annotations
 
@@ -10,43 +10,45 @@
 from spokeroute.register.replica.value_requests import distance_of, value_sources
 from spokeroute.transport.messages import Probe
 
-PROBE_MS = 400
-FAR_MS = 1_200  # between two turns that also go to members of other regions that no proof needs
-LATE_MS = 450  # a proof older than a turn and a beat: one of those that were asked may be gone
-STRANGE_MS = 1_500
+PROBE_INTERVAL_MS = 400
+FULL_PROBE_INTERVAL_MS = 1_200  # between probes to members of other regions that no proof needs
+LATE_PROOF_MS = 450  # an interval and a tick: one of the probed members may be down
+STALE_ROSTER_MS = 1_500  # after so long without a proof, all known members may have been replaced
 OTHER_REGION = Distance.OTHER_REGION
 
 
-def members_to_ask(state: State, now_ms: Ms) -> tuple[NodeId, ...]:
-    """Whom a probe goes to. In turn: the member that places, all members of this region, and as
-    many others as make a proof; more rarely, where members differ, and where a proof is late,
-    all. Between two turns, where calls wait for an instance, as many as make a proof.
+def members_to_probe(state: State, now_ms: Ms) -> tuple[NodeId, ...]:
+    """Returns the members that the next probe goes to. At the regular interval these are the
+    placement holder, all members of this region, and as many others as a proof needs. All members
+    are probed at a longer interval, while members disagree, and while a proof is late. Between two
+    regular probes, while calls wait for an instance, only as many as a proof needs.
 
     Example:
-        >>> members_to_ask(State(()), Ms(0))
+        >>> members_to_probe(State(()), Ms(0))
         ()
     """
     roster = state.roster
     if roster is None:
         return state.registries
-    if now_ms - state.proved_ms > STRANGE_MS:
-        # All members that this process knows of may be gone: any registry has news of the roster.
+    if now_ms - state.proved_ms > STALE_ROSTER_MS:
+        # All known members may be gone: any registry can tell the newest roster.
         return tuple(dict.fromkeys((*roster.ids, *state.registries)))
-    late = now_ms - state.proved_ms >= LATE_MS
-    if late or state.disagreements or now_ms - state.all_probed_ms >= FAR_MS:
+    late = now_ms - state.proved_ms >= LATE_PROOF_MS
+    if late or state.disagreements or now_ms - state.last_full_probe_ms >= FULL_PROBE_INTERVAL_MS:
         return roster.ids
     order = value_sources(roster.ids, state.zones, state.places, state.address)
     placing = tuple(node for node in order if node == state.reports.placement)
-    nearest = tuple(dict.fromkeys((*placing, *order)))[: roster.majority]
-    if now_ms - state.turn_ms < PROBE_MS:
-        return nearest
+    needed = tuple(dict.fromkeys((*placing, *order)))[: roster.majority]
+    if now_ms - state.last_turn_ms < PROBE_INTERVAL_MS:
+        return needed
     near = tuple(n for n in order if distance_of(n, state.zones, state.places) != OTHER_REGION)
-    return tuple(dict.fromkeys((*nearest, *near)))
+    return tuple(dict.fromkeys((*needed, *near)))
 
 
 def members_to_report(state: State, now_ms: Ms) -> frozenset[str]:
-    """To whom reports go with a probe: in turn, to all that are asked; between two turns, where
-    calls wait, to the member that places. The others only have them for the day when they place.
+    """Returns the members that get reports with a probe: at the regular interval all that are
+    probed; between two regular probes, while calls wait, only the placement holder. The others need
+    the reports only in case they become the placement holder.
 
     Example:
         >>> members_to_report(State(()), Ms(0))
@@ -54,60 +56,60 @@
     """
     roster, placing = state.roster, state.reports.placement
     members = roster.ids if roster is not None else state.registries
-    between_turns = now_ms - state.turn_ms < PROBE_MS
+    between_turns = now_ms - state.last_turn_ms < PROBE_INTERVAL_MS
     return frozenset((placing,) if between_turns and placing in members else members)
 
 
-def turned(state: State, asked: int, now_ms: Ms) -> State:
-    """With when members were asked in turn, and when all of them were.
+def with_probe_times(state: State, probed: int, now_ms: Ms) -> State:
+    """Records the time of a probe to ``probed`` members: as a regular one, and as one to all.
 
     Example:
-        >>> turned(State(()), 0, Ms(5)).all_probed_ms
+        >>> with_probe_times(State(()), 0, Ms(5)).last_full_probe_ms
         5
     """
-    if state.roster is None or asked >= len(state.roster.ids):
-        return replace(state, turn_ms=now_ms, all_probed_ms=now_ms)
-    turn = now_ms - state.turn_ms >= PROBE_MS
-    return replace(state, turn_ms=now_ms) if turn else state
+    if state.roster is None or probed >= len(state.roster.ids):
+        return replace(state, last_turn_ms=now_ms, last_full_probe_ms=now_ms)
+    turn = now_ms - state.last_turn_ms >= PROBE_INTERVAL_MS
+    return replace(state, last_turn_ms=now_ms) if turn else state
 
 
-def light_question(state: State, epoch: int, demand: bool, now_ms: Ms) -> Probe:
-    """The probe without reports on held instances; with what is asked for, or without that as well.
+def probe_without_reports(state: State, epoch: int, demand: bool, now_ms: Ms) -> Probe:
+    """Returns a probe without reports on held instances, and with demand only if ``demand`` is set.
 
     Example:
-        >>> light_question(State(()), 1, False, Ms(0)).reports
+        >>> probe_without_reports(State(()), 1, False, Ms(0)).reports
         False
     """
-    asked_for = state.reports.demand if demand else ()
+    reported_demand = state.reports.demand if demand else ()
     proved_ago_ms = now_ms - state.proved_ms if state.proved_ms >= 0 else -1
     return Probe(
-        state.nonce, epoch, (), (), asked_for, (), state.reports.leaving, (), proved_ago_ms,
-        state.address, False, zone=state.places.zone, named=fingerprints(state.named),
+        state.nonce, epoch, (), (), reported_demand, (), state.reports.leaving, (), proved_ago_ms,
+        state.address, False, zone=state.places.zone, named=fingerprints(state.agreed),
         reports=False,
     )  # fmt: skip
 
 
-def question(state: State, epoch: int, base: int, now_ms: Ms) -> Probe:
-    """The probe for members that have the report of the question ``base``.
+def probe_with_reports(state: State, epoch: int, base: int, now_ms: Ms) -> Probe:
+    """Returns the probe for members that have the report of probe number ``base``.
 
     Example:
-        question(state, 1, 0, now_ms).held_base == 0
+        probe_with_reports(state, 1, 0, now_ms).held_base == 0
     """
-    said = state.reports
-    held, held_no_more = state.changes.since(base)
+    reports = state.reports
+    held, held_no_more = state.report_changes.since(base)
     proved_ago_ms = now_ms - state.proved_ms if state.proved_ms >= 0 else -1
     return Probe(
-        state.nonce, epoch, (), held, said.demand, said.took, said.leaving, said.busy,
+        state.nonce, epoch, (), held, reports.demand, reports.took, reports.leaving, reports.busy,
         proved_ago_ms, state.address, False, base, held_no_more,
-        zone=state.places.zone, named=fingerprints(state.named),
+        zone=state.places.zone, named=fingerprints(state.agreed),
     )  # fmt: skip
 
 
-def digests_here(state: State) -> tuple[str, ...]:
-    """The digests of the values that are here.
+def local_digests(state: State) -> tuple[str, ...]:
+    """Returns the digests of the values that are stored locally.
 
     Example:
-        >>> digests_here(State(()))
+        >>> local_digests(State(()))
         ()
     """
-    return tuple(got.copy.digest for got in state.local_copies.values())
+    return tuple(local.copy.digest for local in state.local_copies.values())
--- a/spokeroute/register/replica/proof.py
+++ b/spokeroute/register/replica/proof.py
@@ -1,7 +1,8 @@
-"""What a process holds of the spread registers, and when that is proved to be the newest.
+"""Stores copies of the replicated registers, and proves when they were the newest.
 
-A question that a majority answered alike is a target: once a value that it names is here, it rules
-from the time of that question on, and never goes back to an older one.
+Each time a majority agrees on all registers, a pending proof is created. Once a value that it names
+is stored locally, that value is in force as of the time of the proof, and is never replaced by an
+older one.
 """
 
 from __future__ import annotations
@@ -21,38 +22,39 @@
 from spokeroute.transport.peers import CopiesNow
 
 LEASE_MS = 2_000
-MOST_TARGETS = 16
-KEPT_BEFORE = 3  # of a register's values that newer ones came after; of compiled ones, one
+MAX_PENDING_PROOFS = 16
+MAX_OLDER_COPIES = 3  # per register; one for compiled values, whose tables are large
 
 
-def under(state: State, roster: Roster) -> State:
-    """With a newer roster: answers of the one before it prove nothing any more.
+def with_roster(state: State, roster: Roster) -> State:
+    """Adopts a newer roster: answers under the previous one no longer prove anything.
 
     Example:
-        under(State(()), roster).answers == Map()
+        with_roster(State(()), roster).answers == Map()
     """
-    return replace(state, roster=roster, questions=PendingProbes(), answers=Map())
+    return replace(state, roster=roster, pending_probes=PendingProbes(), answers=Map())
 
 
-def with_target(
-    targets: tuple[PendingProof, ...], new: PendingProof, ask: OpenRequest | None
+def with_pending_proof(
+    pending_proofs: tuple[PendingProof, ...], new: PendingProof, request: OpenRequest | None
 ) -> tuple[PendingProof, ...]:
-    """With a newer target, in place of the last one where both name the same. Past the bound the
-    oldest one is dropped, but never the one whose values the open ask brings.
+    """Adds a pending proof; it replaces the last one if both name the same values. Beyond
+    ``MAX_PENDING_PROOFS`` the oldest one is dropped, but never the one whose values the open
+    request brings.
 
     Example:
-        >>> len(with_target((), PendingProof(Ms(0), Map()), None))
+        >>> len(with_pending_proof((), PendingProof(Ms(0), Map()), None))
         1
     """
-    if targets and _same_copies(targets[-1], new):
-        return (*targets[:-1], new)
-    if len(targets) < MOST_TARGETS:
-        return (*targets, new)
+    if pending_proofs and _same_copies(pending_proofs[-1], new):
+        return (*pending_proofs[:-1], new)
+    if len(pending_proofs) < MAX_PENDING_PROOFS:
+        return (*pending_proofs, new)
     awaited = None
-    if ask is not None:
-        awaited = next((each for each in targets if each.asked_ms >= ask.sent_ms), None)
-    dropped = next(each for each in targets if each is not awaited)
-    return (*(each for each in targets if each is not dropped), new)
+    if request is not None:
+        awaited = next((each for each in pending_proofs if each.asked_ms >= request.sent_ms), None)
+    dropped = next(each for each in pending_proofs if each is not awaited)
+    return (*(each for each in pending_proofs if each is not dropped), new)
 
 
 def _same_copies(a: PendingProof, b: PendingProof) -> bool:
@@ -61,161 +63,161 @@
     )
 
 
-def is_wanted(state: State, copy: Copy) -> bool:
-    """Whether a question that waits for its proof was answered with this very value.
+def is_awaited(state: State, copy: Copy) -> bool:
+    """Returns whether a pending proof names exactly this value.
 
     Example:
-        is_wanted(state, copy)
+        is_awaited(state, copy)
     """
-    named = (target.copies.get(copy.name) for target in state.pending_proofs)
+    named = (pending.copies.get(copy.name) for pending in state.pending_proofs)
     return any(each is not None and same_value(each, copy) for each in named)
 
 
-def is_behind(state: State, ask: OpenRequest, answer: Answer) -> bool:
-    """Whether a member that was asked for values names an older version of some register than a
-    majority had named before it was asked.
+def is_behind(state: State, request: OpenRequest, answer: Answer) -> bool:
+    """Returns whether a member that was asked for values reports an older version of some register
+    than a majority had agreed on before it was asked.
 
     Example:
         is_behind(state, state.value_requests.open, answer)
     """
-    newest = {name: got.copy.version for name, got in state.in_force.items()}
-    for target in state.pending_proofs:
-        if target.asked_ms <= ask.sent_ms:
-            named = {name: copy.version for name, copy in target.copies.items()}
+    newest = {name: local.copy.version for name, local in state.in_force.items()}
+    for pending in state.pending_proofs:
+        if pending.asked_ms <= request.sent_ms:
+            named = {name: copy.version for name, copy in pending.copies.items()}
             newest = {name: max(named[name], newest.get(name, 0)) for name in named}
     return any(copy.version < newest.get(copy.name, 0) for copy in answer.copies)
 
 
-def keep(state: State, got: LocalCopy) -> State:
-    """Keep a value, and for a while those that it comes after: an answer may name one of them.
+def store_copy(state: State, new: LocalCopy) -> State:
+    """Stores a value, and keeps some older ones for a while, because an answer may still name them.
 
     Example:
-        state = keep(state, LocalCopy(copy, value))
+        state = store_copy(state, LocalCopy(copy, value))
     """
-    name = got.copy.name
+    name = new.copy.name
     newest = state.local_copies.get(name)
     if newest is None:
-        return replace(state, local_copies=state.local_copies.set(name, got))
-    older, newer = sorted((newest, got), key=lambda each: each.copy.version)
-    many = 1 if got.table is not None else KEPT_BEFORE
-    before = (*state.before.get(name, ()), older)[-many:]
-    here, all_before = state.local_copies.set(name, newer), state.before.set(name, before)
-    return replace(state, local_copies=here, before=all_before)
+        return replace(state, local_copies=state.local_copies.set(name, new))
+    older, newer = sorted((newest, new), key=lambda each: each.copy.version)
+    max_older = 1 if new.table is not None else MAX_OLDER_COPIES
+    kept = (*state.older_copies.get(name, ()), older)[-max_older:]
+    local, all_older = state.local_copies.set(name, newer), state.older_copies.set(name, kept)
+    return replace(state, local_copies=local, older_copies=all_older)
 
 
-def found(state: State, copy: Copy) -> LocalCopy | None:
-    """The value of a copy, if it is here.
+def stored_copy(state: State, copy: Copy) -> LocalCopy | None:
+    """Returns the locally stored value of a copy, if there is one.
 
     Example:
-        found(state, copy) is None
+        stored_copy(state, copy) is None
     """
     newest: LocalCopy | None = state.local_copies.get(copy.name)
     if newest is not None and same_value(newest.copy, copy):
         return newest
-    before: tuple[LocalCopy, ...] = state.before.get(copy.name, ())
-    return next((got for got in before if same_value(got.copy, copy)), None)
+    older: tuple[LocalCopy, ...] = state.older_copies.get(copy.name, ())
+    return next((local for local in older if same_value(local.copy, copy)), None)
 
 
 def prove(state: State) -> tuple[State, Effects]:
-    """Each register is proved by the newest question whose answer names a value of it that is here,
-    from that question's time; what a process decides by, from the earliest of those times. So no
-    register waits for another one's value.
+    """Proves each register by the newest pending proof that names a locally stored value of it, as
+    of the time of that proof. Listeners decide by the earliest of these times. So no register waits
+    for the value of another one.
 
     Example:
         state, effects = prove(state)
     """
-    ruling, proved_of = state.in_force, state.proved_of
+    in_force, proved = state.in_force, state.proved_ms_by_register
     for name in SPREAD:
-        for target in reversed(state.pending_proofs):
-            if target.asked_ms <= proved_of.get(name, Ms(-1)):
+        for pending in reversed(state.pending_proofs):
+            if pending.asked_ms <= proved.get(name, Ms(-1)):
                 break
             if (
                 name == FLOOR
                 and state.floor_needs_configuration
-                and not _configured(ruling, target)
+                and not _configuration_in_force(in_force, pending)
             ):
                 continue
-            found_here = _ruling_by(state, target.copies[name])
-            if found_here is not None:
-                proved_of = proved_of.set(name, target.asked_ms)
-                ruling = ruling.set(name, found_here) if found_here.copy.version else ruling
+            local = _value_in_force(state, pending.copies[name])
+            if local is not None:
+                proved = proved.set(name, pending.asked_ms)
+                in_force = in_force.set(name, local) if local.copy.version else in_force
                 break
-    if proved_of == state.proved_of:
+    if proved == state.proved_ms_by_register:
         return state, ()
-    return _proved(state, ruling, proved_of)
+    return _with_proof(state, in_force, proved)
 
 
-def _configured(ruling: Map[str, LocalCopy], target: PendingProof) -> bool:
-    """Whether the configuration that a target names rules, or a newer one. Instances of services
-    that an older one lacks would be stopped by it."""
-    version = target.copies[CONFIGURATION].version
+def _configuration_in_force(in_force: Map[str, LocalCopy], pending: PendingProof) -> bool:
+    """Returns whether the configuration that a pending proof names, or a newer one, is in force.
+    Instances of services that an older one lacks would be stopped by it."""
+    version = pending.copies[CONFIGURATION].version
     return version == 0 or (
-        CONFIGURATION in ruling and ruling[CONFIGURATION].copy.version >= version
+        CONFIGURATION in in_force and in_force[CONFIGURATION].copy.version >= version
     )
 
 
-def _ruling_by(state: State, copy: Copy) -> LocalCopy | None:
-    """What rules where a majority named a copy; None while its value is missing, or where it would
-    go back."""
+def _value_in_force(state: State, copy: Copy) -> LocalCopy | None:
+    """Returns what comes into force when a majority agreed on a copy; None while its value is not
+    stored, or if it is older than the value in force."""
     if copy.version == 0:
         return LocalCopy(copy, b"")
-    old, got = state.in_force.get(copy.name), found(state, copy)
+    old, local = state.in_force.get(copy.name), stored_copy(state, copy)
     if old is not None and same_value(old.copy, copy):
         return old if ballot_of(old.copy) == ballot_of(copy) else replace(old, copy=copy)
-    if got is None or (old is not None and old.copy.version >= copy.version):
+    if local is None or (old is not None and old.copy.version >= copy.version):
         return None
-    return replace(got, copy=copy)
+    return replace(local, copy=copy)
 
 
-def _proved(
-    state: State, ruling: Map[str, LocalCopy], proved_of: Map[str, Ms]
+def _with_proof(
+    state: State, in_force: Map[str, LocalCopy], proved: Map[str, Ms]
 ) -> tuple[State, Effects]:
     changed = any(
-        name not in state.in_force or not same_value(state.in_force[name].copy, got.copy)
-        for name, got in ruling.items()
+        name not in state.in_force or not same_value(state.in_force[name].copy, local.copy)
+        for name, local in in_force.items()
     )
-    proved_ms = min(proved_of.get(name, Ms(-1)) for name in SPREAD)
-    left = tuple(each for each in state.pending_proofs if each.asked_ms > proved_ms)
-    again = state.overdue and proved_ms > state.proved_ms
+    proved_ms = min(proved.get(name, Ms(-1)) for name in SPREAD)
+    remaining = tuple(each for each in state.pending_proofs if each.asked_ms > proved_ms)
+    recovered = state.proof_overdue and proved_ms > state.proved_ms
     text = f"proof again after {proved_ms - state.proved_ms} ms"
-    effects: list[Effect] = [Note(text)] if again else []
+    effects: list[Effect] = [Note(text)] if recovered else []
     state = replace(
-        state, in_force=ruling, proved_of=proved_of, proved_ms=proved_ms, pending_proofs=left,
-        overdue=state.overdue and not again,
+        state, in_force=in_force, proved_ms_by_register=proved, proved_ms=proved_ms,
+        pending_proofs=remaining, proof_overdue=state.proof_overdue and not recovered,
     )  # fmt: skip
     if proved_ms < 0:
         return state, ()
-    fresh = fresh_of(state, changed)
+    fresh = fresh_copies(state, changed)
     effects.extend(Tell(name, fresh) for name in state.listeners)
     if changed:
-        copies = tuple(ruling[n].copy for n in sorted(ruling))
+        copies = tuple(in_force[n].copy for n in sorted(in_force))
         effects.append(Tell("peers", CopiesNow(copies)))
-        if ROSTER in ruling:
-            roster = unpack_roster(ruling[ROSTER].value)
+        if ROSTER in in_force:
+            roster = unpack_roster(in_force[ROSTER].value)
             if state.roster is None or roster.epoch > state.roster.epoch:
-                state = under(state, roster)
+                state = with_roster(state, roster)
     return state, tuple(effects)
 
 
-def fresh_of(state: State, changed: bool) -> FreshCopies:
-    """What the ruling copies say, for whoever decides.
+def fresh_copies(state: State, changed: bool) -> FreshCopies:
+    """Returns the values in force, for the listeners.
 
     Example:
-        fresh_of(State(()), False).versions == {}
+        fresh_copies(State(()), False).versions == {}
     """
-    ruling = state.in_force.get(CONFIGURATION)
+    configuration = state.in_force.get(CONFIGURATION)
     return FreshCopies(
         state.proved_ms,
-        {name: got.copy.version for name, got in state.in_force.items()},
-        {name: got.value for name, got in state.in_force.items() if name != CONFIGURATION},
-        ruling.table if ruling else None,
+        {name: local.copy.version for name, local in state.in_force.items()},
+        {name: local.value for name, local in state.in_force.items() if name != CONFIGURATION},
+        configuration.table if configuration else None,
         changed,
         frozenset(
             name
-            for sent_ms, names in state.absent_of.values()
+            for sent_ms, names in state.absent_by_member.values()
             if state.proved_ms - sent_ms < LEASE_MS
             for name in names
         ),
-        number_of(ruling.value) if ruling else 0,
-        state.proved_of.get(CONFIGURATION, Ms(-1)),
+        number_of(configuration.value) if configuration else 0,
+        state.proved_ms_by_register.get(CONFIGURATION, Ms(-1)),
     )
--- a/spokeroute/register/replica/report_changes.py
+++ b/spokeroute/register/replica/report_changes.py
@@ -1,8 +1,8 @@
-"""What an exchange reports of the instances that it holds: to each member of the core, what changed
-since the report that this member is known to have.
+"""Tracks what an exchange has reported about the instances that it holds, per member of the core,
+so that each probe carries only what changed since the last report the member is known to have.
 
-Nodes hold hundreds of instances, most of which nobody calls; told whole to each member with each
-question, they would fill a narrow link.
+Nodes hold hundreds of instances, most of them without calls. Sending all reports to each member
+with each probe would fill a narrow link.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 from spokeroute.common.replacing import replace
 from spokeroute.transport.messages import HeldReport
 
-FULL_REPORT = 0  # the base of a report that stands for itself
-MAX_REMOVED = 500
+FULL_REPORT = 0  # the base of a report that builds on no earlier one
+MAX_REMOVED = 500  # removed instances that are kept for later reports
 
 
 @dataclass(frozen=True, slots=True)
 class HeldChange:
-    """The newest report on an instance, and the number of the question that it first went with."""
+    """The newest report on an instance, and the number of the probe that first carried it."""
 
     report: HeldReport
     number: int
@@ -29,8 +29,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Acknowledged:
-    """The newest question that a life of a member answered. Answers to questions before ``since``
-    say nothing: those went with what changed since a report that an earlier life had."""
+    """The newest probe that an incarnation of a member answered. Answers to probes before ``since``
+    are ignored: those probes carried changes to a report that only an earlier incarnation had."""
 
     incarnation: Incarnation
     number: int
@@ -39,41 +39,43 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportChanges:
-    """What is held, since which question it is as it is, and what each member has of it."""
+    """The held instances, the probe at which each changed last, and what each member knows."""
 
     held: Map[str, HeldChange] = field(default_factory=Map)
-    gone: Map[str, int] = field(default_factory=Map)  # held no more, since which question
-    forgotten: int = 0  # of what went up to this question, nothing is known any more
+    removed: Map[str, int] = field(default_factory=Map)  # no longer held, since which probe
+    removals_dropped_at: int = 0  # removals up to this probe are no longer known
     acknowledged: Map[str, Acknowledged] = field(default_factory=Map)
 
-    def noted(self, reports: tuple[HeldReport, ...], number: int) -> ReportChanges:
-        """The reports that go with a question.
+    def with_reports(self, reports: tuple[HeldReport, ...], number: int) -> ReportChanges:
+        """Records the reports on all held instances as of a probe.
 
         Example:
-            >>> ReportChanges().noted((), 7).held
+            >>> ReportChanges().with_reports((), 7).held
             immutables.Map({})
         """
-        held, gone = self.held.mutate(), self.gone.mutate()
+        held, removed = self.held.mutate(), self.removed.mutate()
         names = {report.instance for report in reports}
         for report in reports:
             known = self.held.get(report.instance)
             if known is None or known.report != report:
                 held[report.instance] = HeldChange(report, number)
-            gone.pop(report.instance, None)
+            removed.pop(report.instance, None)
         for name in self.held:
             if name not in names:
                 del held[name]
-                gone[name] = number
-        forgotten = self.forgotten
-        if len(gone) > MAX_REMOVED:
-            gone, forgotten = Map[str, int]().mutate(), number
-        return replace(self, held=held.finish(), gone=gone.finish(), forgotten=forgotten)
+                removed[name] = number
+        dropped_at = self.removals_dropped_at
+        if len(removed) > MAX_REMOVED:
+            removed, dropped_at = Map[str, int]().mutate(), number
+        return replace(
+            self, held=held.finish(), removed=removed.finish(), removals_dropped_at=dropped_at
+        )
 
     def answered(
         self, node: str, incarnation: Incarnation, number: int, newest: int
     ) -> ReportChanges:
-        """A member answered a question: it has the report that went with it (``number`` is WHOLE
-        where none did). ``newest`` is the last question that was asked.
+        """Records that a member answered a probe and so has the report that the probe carried;
+        ``number`` is ``FULL_REPORT`` if it carried none. ``newest`` is the last probe sent.
 
         Example:
             >>> ReportChanges().answered("m1", Incarnation(1), 7, 8).base("m1")
@@ -91,17 +93,23 @@
         return replace(self, acknowledged=self.acknowledged.set(node, new))
 
     def base(self, node: str) -> int:
-        """The question whose report a member has, as far as changes since it are known.
+        """Returns the probe whose report a member has, if all changes since then are known;
+        otherwise ``FULL_REPORT``.
 
         Example:
             >>> ReportChanges().base("m1") == FULL_REPORT
             True
         """
         known = self.acknowledged.get(node)
-        return known.number if known is not None and known.number >= self.forgotten else FULL_REPORT
+        return (
+            known.number
+            if known is not None and known.number >= self.removals_dropped_at
+            else FULL_REPORT
+        )
 
     def since(self, base: int) -> tuple[tuple[HeldReport, ...], tuple[str, ...]]:
-        """The reports that changed after a question, and what is held no more since.
+        """Returns the reports that changed after a probe, and the instances that are no longer held
+        since then.
 
         Example:
             >>> ReportChanges().since(FULL_REPORT)
@@ -110,4 +118,4 @@
         changed = tuple(each.report for each in self.held.values() if each.number > base)
         if base == FULL_REPORT:
             return changed, ()
-        return changed, tuple(name for name, number in self.gone.items() if number > base)
+        return changed, tuple(name for name, number in self.removed.items() if number > base)
--- a/spokeroute/register/replica/state.py
+++ b/spokeroute/register/replica/state.py
@@ -1,4 +1,4 @@
-"""What a process holds of the spread registers, what it can prove, and what it tells of it."""
+"""State of the replica: local copies, proofs, and the notices to its listeners."""
 
 from __future__ import annotations
 
@@ -20,23 +20,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Reports:
-    """From the calls' core: what goes to the core with the next probe."""
+    """From the call path: what the next probe reports to the core."""
 
     held: tuple[HeldReport, ...]
     demand: tuple[DemandReport, ...]
     took: tuple[Took, ...] = ()
     leaving: bool = False
     busy: tuple[str, ...] = ()
-    probe_within_ms: int = (
-        0  # calls wait for an instance: the next probe comes this soon; 0: in turn
-    )
-    placement: NodeId = NodeId("")  # the member that places, as far as this process knows
+    probe_within_ms: int = 0  # while calls wait for an instance; 0: at the regular interval
+    placement: NodeId = NodeId("")  # the placement holder, as far as this process knows
 
 
 @dataclass(frozen=True, slots=True)
 class FreshCopies:
-    """To whoever decides: these copies were the newest at ``as_of_ms``; ``absent`` instances
-    are gone or going by a listing that some member read since."""
+    """To the listeners: these copies were the newest at ``as_of_ms``; ``absent`` instances are gone
+    or about to go, according to a platform listing that some member has read since."""
 
     as_of_ms: Ms
     versions: Mapping[str, int]
@@ -44,14 +42,14 @@
     table: object
     changed: bool
     absent: frozenset[str] = frozenset()
-    number: int = 0  # the operator's, of the configuration
+    number: int = 0  # the operator's number of the configuration
     configuration_ms: Ms = Ms(-1)  # when the configuration itself was the newest
 
 
 @dataclass(frozen=True, slots=True)
 class MajorityContact:
-    """To whoever decides: a majority of the core is heard since ``since_ms`` without a gap, and was
-    at ``at_ms``, but the configuration is not proved to be the newest."""
+    """To the listeners: a majority of the core has been heard without interruption from
+    ``since_ms`` to ``at_ms``, but the configuration is not proved to be the newest."""
 
     since_ms: Ms
     at_ms: Ms
@@ -59,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A member's newest answer: to which question, sent when, and the copies that it named."""
+    """A member's newest answer: the probe it belongs to, and the copies that it reported."""
 
     nonce: int
     sent_ms: Ms
@@ -69,7 +67,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Disagreement:
-    """A register on which members differ: the newest ballot named, and since when none is newer."""
+    """The newest ballot reported for a register on which members differ, and when it was first
+    reported."""
 
     ballot: Ballot
     since_ms: Ms
@@ -77,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalCopy:
-    """A copy that is here."""
+    """A copy whose value is stored locally."""
 
     copy: Copy
     value: bytes
@@ -86,9 +85,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingProof:
-    """What a majority named in answer to one question: each value rules from ``asked_ms`` on, once
-    it is here. Several may wait for their values, as those come over a narrow link later than the
-    answers to the next questions."""
+    """The copies on which a majority agreed as of ``asked_ms``. Each value comes into force as of
+    that time once it is stored locally. Several pending proofs may wait for their values, because
+    over a narrow link values arrive later than the answers to the next probes."""
 
     asked_ms: Ms
     copies: Map[str, Copy]
@@ -96,54 +95,47 @@
 
 @dataclass(frozen=True, slots=True)
 class State:
-    """What this process holds and what it can prove."""
+    """What this process has stored, and what it can prove about it."""
 
     listeners: tuple[str, ...]
     roster: Roster | None = None
     registries: tuple[NodeId, ...] = ()
-    questions: PendingProbes = PendingProbes()
+    pending_probes: PendingProbes = PendingProbes()
     answers: Map[str, Answer] = field(default_factory=Map)  # by member
-    contact_ms: Ms = Ms(-1)  # since when a majority of them is heard without a gap
-    told_contact_ms: Ms = Ms(-(10**6))
+    contact_since_ms: Ms = Ms(-1)  # since when a majority is heard without interruption
+    contact_notified_ms: Ms = Ms(-(10**6))
     nonce: int = 0
-    next_ms: Ms = Ms(0)
+    next_probe_ms: Ms = Ms(0)
     in_force: Map[str, LocalCopy] = field(default_factory=Map)
-    local_copies: Map[str, LocalCopy] = field(
-        default_factory=Map
-    )  # newest fetched, perhaps not yet proved
-    before: Map[str, tuple[LocalCopy, ...]] = field(
-        default_factory=Map
-    )  # here before them, newest last
-    named: Map[str, Copy] = field(default_factory=Map)  # what a majority named alike last
+    local_copies: Map[str, LocalCopy] = field(default_factory=Map)  # newest stored, proved or not
+    older_copies: Map[str, tuple[LocalCopy, ...]] = field(default_factory=Map)  # newest last
+    agreed: Map[str, Copy] = field(default_factory=Map)  # on which a majority last agreed
     pending_proofs: tuple[PendingProof, ...] = ()  # since the newest proof, oldest first
-    proved_of: Map[str, Ms] = field(default_factory=Map)  # by register
-    proved_ms: Ms = Ms(-1)  # the earliest of them, once there is one of each
+    proved_ms_by_register: Map[str, Ms] = field(default_factory=Map)
+    proved_ms: Ms = Ms(-1)  # the earliest of those times; -1 until every register is proved
     reports: Reports = Reports((), ())
-    disagreements: Map[str, Disagreement] = field(
-        default_factory=Map
-    )  # registers on which members differ
-    back_ms: Ms = Ms(-(10**6))  # when members answered again after a silence of all of them
+    disagreements: Map[str, Disagreement] = field(default_factory=Map)  # by register
+    reconnected_ms: Ms = Ms(-(10**6))  # when members answered again after none had
     value_requests: ValueRequests = ValueRequests()
-    changes: ReportChanges = ReportChanges()
-    compiles: CompileQueue = CompileQueue()
-    probed_ms: Ms = Ms(0)  # when the last probe went out
-    turn_ms: Ms = Ms(-(10**6))  # when more were asked last than make a proof
-    all_probed_ms: Ms = Ms(-(10**6))  # when all members were asked last
-    absent_of: Map[str, tuple[Ms, tuple[str, ...]]] = field(default_factory=Map)  # by member
+    report_changes: ReportChanges = ReportChanges()
+    compile_queue: CompileQueue = CompileQueue()
+    last_probe_ms: Ms = Ms(0)
+    last_turn_ms: Ms = Ms(-(10**6))  # when more members were last probed than a proof needs
+    last_full_probe_ms: Ms = Ms(-(10**6))  # when all members were last probed
+    absent_by_member: Map[str, tuple[Ms, tuple[str, ...]]] = field(default_factory=Map)
     bounds: Bounds = Bounds()
-    overdue: bool = False  # the newest proof is older than the lease, and this was noted
-    late_answers: int = 0  # that came to questions which are not kept any more
-    named_ms: Map[str, Ms] = field(default_factory=Map)  # when each register was agreed on last
+    proof_overdue: bool = False  # the newest proof is older than the lease, which was logged
+    late_answers: int = 0  # answers to probes that are no longer kept
+    agreed_ms: Map[str, Ms] = field(default_factory=Map)  # as of when, by register
     address: str = ""
     places: Places = Places()
-    zones: Map[str, str] = field(default_factory=Map)  # of the registries that are known
-    floor_needs_configuration: bool = (
-        False  # who places: no placement table rules beside an older configuration
-    )
+    zones: Map[str, str] = field(default_factory=Map)  # of the known registries
+    # In a core node: no placement table comes into force with an older configuration.
+    floor_needs_configuration: bool = False
 
     @property
     def latest_agreed_ms(self) -> Ms:
-        """When the newest question was asked that a majority answered alike; -1 before the first.
+        """The time as of which a majority last agreed on every register; -1 before the first time.
 
         Example:
             >>> State(()).latest_agreed_ms
--- a/spokeroute/register/replica/value_requests.py
+++ b/spokeroute/register/replica/value_requests.py
@@ -1,9 +1,9 @@
-"""Who is asked for values, one at a time, and with how much patience.
+"""Decides which member is asked for register values, one at a time, and with which time-out.
 
-Values are large beside a narrow link. Were they asked for again at each question, or of several
-members at once, what is late would be sent once more, and make everything later still. So one ask
-is open at a time; the next one waits for its answer, or for a patience that doubles as long as
-none comes, and goes to the next member then.
+Values are large compared with what a narrow link carries. Requesting a late value again with every
+probe, or from several members at once, would send it repeatedly and delay everything further. So
+only one request is open at a time. The next one waits for its answer or for a time-out, which
+doubles while no answer comes, and then goes to the next member.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 from spokeroute.common.places import Distance, Places
 from spokeroute.common.replacing import replace
 
-FIRST_PATIENCE_MS = 400
-LONGEST_PATIENCE_MS = 6_400
-NEAR_AGAIN_MS = 5_000  # after which the member that was given up is asked first again
-SILENT_MS = 600  # without any answer for so long, what was asked meanwhile never arrived
+FIRST_TIMEOUT_MS = 400
+MAX_TIMEOUT_MS = 6_400
+RETRY_FIRST_MS = 5_000  # after skipping a member, the first in order is asked again
+SILENCE_MS = 600  # after so long without any answer, requests sent meanwhile are taken as lost
 
 
 @dataclass(frozen=True, slots=True)
 class OpenRequest:
-    """An ask that was not answered yet."""
+    """A request that has not been answered yet."""
 
     node: NodeId
     nonce: int
@@ -35,87 +35,91 @@
 
 @dataclass(frozen=True, slots=True)
 class ValueRequests:
-    """The open ask with a probe, the open fetch of each register, and who comes next."""
+    """The open request that went with a probe, the open fetch of each register, and which member is
+    asked next."""
 
     open: OpenRequest | None = None
-    patience_ms: int = FIRST_PATIENCE_MS
-    turn: int = 0  # how many members were given up since the first
-    turned_ms: Ms = Ms(0)
-    fetches: Map[str, tuple[Ms, int]] = field(default_factory=Map)  # since when, and the patience
-    heard_ms: Ms = Ms(0)  # when a member answered last, whichever
+    timeout_ms: int = FIRST_TIMEOUT_MS
+    skipped: int = 0  # members that were skipped since the first one in order
+    last_skip_ms: Ms = Ms(0)
+    fetches: Map[str, tuple[Ms, int]] = field(default_factory=Map)  # start and time-out, by name
+    heard_ms: Ms = Ms(0)  # when any member answered last
 
     def waiting(self, now_ms: Ms) -> bool:
-        """Whether an ask is open, and not overdue.
+        """Returns whether a request is open and has not timed out.
 
         Example:
             >>> ValueRequests().waiting(Ms(0))
             False
         """
-        return self.open is not None and now_ms - self.open.sent_ms < self.patience_ms
+        return self.open is not None and now_ms - self.open.sent_ms < self.timeout_ms
 
     def silent(self, now_ms: Ms) -> bool:
-        """Whether no member has answered for long.
+        """Returns whether no member has answered for ``SILENCE_MS``.
 
         Example:
             >>> ValueRequests().silent(Ms(1_000))
             True
         """
-        return now_ms - self.heard_ms > SILENT_MS
+        return now_ms - self.heard_ms > SILENCE_MS
 
-    def asked(
-        self, members: tuple[NodeId, ...], may: frozenset[str], nonce: int, now_ms: Ms
+    def with_request(
+        self, members: tuple[NodeId, ...], allowed: frozenset[str], nonce: int, now_ms: Ms
     ) -> ValueRequests:
-        """One more ask: of the first member, or of the next where the last one did not answer; of
-        those that may be asked now.
+        """Opens a request to the current member in order, or to the next one if the last request
+        was not answered; members that are not in ``allowed`` are passed over.
 
         Example:
-            >>> ValueRequests().asked((NodeId("m1"),), frozenset(["m1"]), 1, Ms(0)).open.node
+            >>> m1 = NodeId("m1")
+            >>> ValueRequests().with_request((m1,), frozenset([m1]), 1, Ms(0)).open.node
             'm1'
         """
-        turn, turned_ms, patience_ms = self.turn, self.turned_ms, self.patience_ms
+        skipped, last_skip_ms, timeout_ms = self.skipped, self.last_skip_ms, self.timeout_ms
         if self.open is not None:
-            turn, turned_ms = turn + 1, now_ms
-            patience_ms = min(2 * patience_ms, LONGEST_PATIENCE_MS)
-        elif turn and now_ms - turned_ms >= NEAR_AGAIN_MS:
-            turn = 0
-        first = turn % len(members)
-        node = next(each for each in (*members[first:], *members[:first]) if each in may)
+            skipped, last_skip_ms = skipped + 1, now_ms
+            timeout_ms = min(2 * timeout_ms, MAX_TIMEOUT_MS)
+        elif skipped and now_ms - last_skip_ms >= RETRY_FIRST_MS:
+            skipped = 0
+        first = skipped % len(members)
+        node = next(each for each in (*members[first:], *members[:first]) if each in allowed)
         return replace(
             self,
             open=OpenRequest(node, nonce, now_ms),
-            patience_ms=patience_ms,
-            turn=turn,
-            turned_ms=turned_ms,
+            timeout_ms=timeout_ms,
+            skipped=skipped,
+            last_skip_ms=last_skip_ms,
         )
 
     def answered(self, node: str, nonce: int, now_ms: Ms) -> ValueRequests:
-        """A member answered. The open ask is over if it was this one, or a later one at the same
-        member, as answers keep their order; or if nobody had answered for long, as it was lost
-        then. What is only slow stays open.
+        """Records a member's answer. It closes the open request if it answers that one or a later
+        one to the same member, because answers keep their order. It also does so if no member had
+        answered for ``SILENCE_MS``: the request was lost then. A slow request stays open.
 
         Example:
-            >>> asks = ValueRequests().asked((NodeId("m1"),), frozenset(["m1"]), 1, Ms(0))
-            >>> asks.answered("m1", 1, Ms(9)).open is None
+            >>> m1 = NodeId("m1")
+            >>> requests = ValueRequests().with_request((m1,), frozenset([m1]), 1, Ms(0))
+            >>> requests.answered("m1", 1, Ms(9)).open is None
             True
         """
         heard = replace(self, heard_ms=now_ms)
         if self.silent(now_ms):
-            return replace(heard, open=None, patience_ms=FIRST_PATIENCE_MS, fetches=Map())
+            return replace(heard, open=None, timeout_ms=FIRST_TIMEOUT_MS, fetches=Map())
         if self.open is None or self.open.node != node or self.open.nonce > nonce:
             return heard
-        return replace(heard, open=None, patience_ms=FIRST_PATIENCE_MS)
+        return replace(heard, open=None, timeout_ms=FIRST_TIMEOUT_MS)
 
-    def passed_on(self, now_ms: Ms) -> ValueRequests:
-        """The member that answered is behind the others: the next one is asked.
+    def skip_source(self, now_ms: Ms) -> ValueRequests:
+        """Moves on to the next member, because the one that answered is behind the others.
 
         Example:
-            >>> ValueRequests().passed_on(Ms(5)).turn
+            >>> ValueRequests().skip_source(Ms(5)).skipped
             1
         """
-        return replace(self, turn=self.turn + 1, turned_ms=now_ms)
+        return replace(self, skipped=self.skipped + 1, last_skip_ms=now_ms)
 
     def may_fetch(self, name: str, now_ms: Ms) -> bool:
-        """Whether a register's value may be fetched by itself: nothing that may bring it is open.
+        """Returns whether a register's value may be fetched separately: no open request or fetch
+        may still bring it.
 
         Example:
             >>> ValueRequests().may_fetch("floor", Ms(0))
@@ -123,25 +127,26 @@
         """
         if self.waiting(now_ms):
             return False
-        since_ms, patience_ms = self.fetches.get(name, (Ms(0), 0))
-        return now_ms - since_ms >= patience_ms
+        since_ms, timeout_ms = self.fetches.get(name, (Ms(0), 0))
+        return now_ms - since_ms >= timeout_ms
 
-    def fetched(self, name: str, now_ms: Ms) -> ValueRequests:
-        """A register's value is being fetched.
+    def with_fetch(self, name: str, now_ms: Ms) -> ValueRequests:
+        """Records that a fetch of a register's value was sent.
 
         Example:
-            >>> ValueRequests().fetched("floor", Ms(0)).may_fetch("floor", Ms(100))
+            >>> ValueRequests().with_fetch("floor", Ms(0)).may_fetch("floor", Ms(100))
             False
         """
-        _, before_ms = self.fetches.get(name, (Ms(0), 0))
-        patience_ms = min(max(2 * before_ms, FIRST_PATIENCE_MS), LONGEST_PATIENCE_MS)
-        return replace(self, fetches=self.fetches.set(name, (now_ms, patience_ms)))
+        _, previous_ms = self.fetches.get(name, (Ms(0), 0))
+        timeout_ms = min(max(2 * previous_ms, FIRST_TIMEOUT_MS), MAX_TIMEOUT_MS)
+        return replace(self, fetches=self.fetches.set(name, (now_ms, timeout_ms)))
 
-    def came(self, name: str) -> ValueRequests:
-        """A value of a register came.
+    def with_value(self, name: str) -> ValueRequests:
+        """Closes the fetch of a register whose value arrived.
 
         Example:
-            >>> ValueRequests().fetched("floor", Ms(0)).came("floor").may_fetch("floor", Ms(1))
+            >>> requests = ValueRequests().with_fetch("floor", Ms(0)).with_value("floor")
+            >>> requests.may_fetch("floor", Ms(1))
             True
         """
         if name not in self.fetches:
@@ -152,25 +157,26 @@
 def value_sources(
     members: tuple[NodeId, ...], zones: Mapping[str, str], places: Places, address: str
 ) -> tuple[NodeId, ...]:
-    """The members in the order in which a process asks them for values: those of its own zone
-    first, then those of its region, as bytes between zones are dear and those between regions
-    dearer; each process begins with another one of the same distance.
+    """Returns the members in the order in which this process asks them for values: those of its own
+    zone first, then those of its region, because traffic between zones costs money and traffic
+    between regions costs more. Among members at the same distance, each process starts with a
+    different one, to spread the load.
 
     Example:
         >>> value_sources((NodeId("a"), NodeId("b")), {"a": "x", "b": "y"}, Places("y"), "h:1")
         ('b', 'a')
     """
-    spread = zlib.crc32(address.encode())
+    offset = zlib.crc32(address.encode())
     order: list[NodeId] = []
     for distance in Distance:
-        there = sorted(n for n in members if distance_of(n, zones, places) == distance)
-        order.extend(_rotated(there, spread))
+        same = sorted(n for n in members if distance_of(n, zones, places) == distance)
+        order.extend(_rotated(same, offset))
     return tuple(order)
 
 
 def distance_of(node: NodeId, zones: Mapping[str, str], places: Places) -> Distance:
-    """How far away a member is; one whose zone is not known counts as of this region: a registry
-    does not find itself in its view.
+    """Returns the distance to a member. A member of unknown zone counts as in this region: a
+    registry does not find itself in its own view.
 
     Example:
         >>> distance_of(NodeId("m1"), {}, Places("north")).name
--- a/spokeroute/registry_node.py
+++ b/spokeroute/registry_node.py
@@ -115,7 +115,7 @@
             address=me.address,
             places=start.places,
             nonce=first_nonce(me.incarnation),
-            compiles=compile_queue(start.switches),
+            compile_queue=compile_queue(start.switches),
             floor_needs_configuration=True,
         ),
         replica.step,
--- a/tests/test_absent_told_once.py
+++ b/tests/test_absent_told_once.py
@@ -41,7 +41,7 @@
 
 
 def asked(state: State, at_ms: int) -> tuple[State, Probe]:
-    state, effects = replica.step(replace(state, next_ms=Ms(0)), Tick(), Ms(at_ms))
+    state, effects = replica.step(replace(state, next_probe_ms=Ms(0)), Tick(), Ms(at_ms))
     probes = [e.message for e in effects if isinstance(e, Send) and e.to == MEMBER]
     assert len(probes) == 1 and isinstance(probes[0], Probe)
     return state, probes[0]
@@ -58,8 +58,8 @@
     assert probe.absent == absent_fingerprint(GONE)
     told = ProbeAck(probe.nonce, 1, copies, (), (), absent_same=True)
     state, _ = replica.step(state, From(MEMBER, LIFE, told), Ms(1_410))
-    assert state.absent_of[MEMBER] == (1_400, GONE)
+    assert state.absent_by_member[MEMBER] == (1_400, GONE)
     state, probe = asked(state, 1_800)
     told = ProbeAck(probe.nonce, 1, copies, (), ())
     state, _ = replica.step(state, From(MEMBER, LIFE, told), Ms(1_810))
-    assert state.absent_of[MEMBER] == (1_800, ())
+    assert state.absent_by_member[MEMBER] == (1_800, ())
--- a/tests/test_bytes.py
+++ b/tests/test_bytes.py
@@ -20,7 +20,7 @@
 
 def asked(state: replica.State, now_ms: int) -> dict[str, Probe]:
     """The probes of one beat, by member."""
-    _, effects = replica.step(replace(state, next_ms=Ms(0)), Tick(), Ms(now_ms))
+    _, effects = replica.step(replace(state, next_probe_ms=Ms(0)), Tick(), Ms(now_ms))
     out: dict[str, Probe] = {}
     for effect in effects:
         if isinstance(effect, Send) and isinstance(effect.message, Probe):
@@ -58,7 +58,7 @@
 
 def beat(state: replica.State, at_ms: int) -> tuple[replica.State, set[str]]:
     probes = asked(state, at_ms)
-    state, _ = replica.step(replace(state, next_ms=Ms(0)), Tick(), Ms(at_ms))
+    state, _ = replica.step(replace(state, next_probe_ms=Ms(0)), Tick(), Ms(at_ms))
     return state, bringers_of(probes)
 
 
@@ -89,7 +89,7 @@
         state, _ = beat(state, at_ms)
     ack = ProbeAck(state.nonce, 1, (), (), ())
     state, _ = replica.step(state, From(NodeId("m3"), LIFE, ack), Ms(9_000))
-    assert state.next_ms <= 9_020 and len(beat(state, 9_020)[1]) == 1
+    assert state.next_probe_ms <= 9_020 and len(beat(state, 9_020)[1]) == 1
 
 
 def test_neighbours_are_not_asked_for_what_the_members_bring() -> None:
--- a/tests/test_compile_queue.py
+++ b/tests/test_compile_queue.py
@@ -19,26 +19,26 @@
 
 
 def test_of_what_comes_during_a_compilation_only_the_newest_is_compiled() -> None:
-    queue, effects = CompileQueue().offered(job(1)).next(Ms(0))
+    queue, effects = CompileQueue().with_job(job(1)).start_next(Ms(0))
     assert effects == (Launch(job(1)),)
     for version in (2, 4, 3):
-        queue, effects = queue.offered(job(version)).next(Ms(5))
+        queue, effects = queue.with_job(job(version)).start_next(Ms(5))
         assert effects == ()
     assert queue.has("d1") and queue.has("d4") and not queue.has("d3")
-    queue = queue.ended("d1", Ms(10))
-    assert queue.next(Ms(10 + 10 * REST_FACTOR - 1))[1] == ()
-    assert queue.next(Ms(10 + 10 * REST_FACTOR))[1] == (Launch(job(4)),)
+    queue = queue.finished("d1", Ms(10))
+    assert queue.start_next(Ms(10 + 10 * REST_FACTOR - 1))[1] == ()
+    assert queue.start_next(Ms(10 + 10 * REST_FACTOR))[1] == (Launch(job(4)),)
 
 
 def test_another_ones_end_frees_nothing() -> None:
-    queue, _ = CompileQueue().offered(job(1)).next(Ms(0))
-    assert queue.ended("d9", Ms(10)) is queue
+    queue, _ = CompileQueue().with_job(job(1)).start_next(Ms(0))
+    assert queue.finished("d9", Ms(10)) is queue
     assert not queue.idle(Ms(10))
 
 
 def test_a_rest_is_bounded() -> None:
-    queue, _ = CompileQueue().offered(job(1)).next(Ms(0))
-    assert queue.ended("d1", Ms(3_000)).idle(Ms(3_000 + MAX_REST_MS))
+    queue, _ = CompileQueue().with_job(job(1)).start_next(Ms(0))
+    assert queue.finished("d1", Ms(3_000)).idle(Ms(3_000 + MAX_REST_MS))
 
 
 @settings(deadline=None)  # simulated time; how fast this machine runs it is not the property
@@ -48,11 +48,11 @@
     for now_ms in range(0, SPAN_MS):
         if now_ms % gap_ms == 0:
             newest += 1
-            queue = queue.offered(job(newest))
-        if queue.running is not None and now_ms - queue.began_ms >= took_ms:
+            queue = queue.with_job(job(newest))
+        if queue.running is not None and now_ms - queue.started_ms >= took_ms:
             busy_ms += took_ms
-            queue = queue.ended(queue.running.copy.digest, Ms(now_ms))
-        queue, launched = queue.next(Ms(now_ms))
+            queue = queue.finished(queue.running.copy.digest, Ms(now_ms))
+        queue, launched = queue.start_next(Ms(now_ms))
         if launched and queue.running is not None:
             assert queue.running.copy.version > compiled
             compiled = queue.running.copy.version
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -57,7 +57,7 @@
     text = overdue_proof_message(
         replace(state, pending_proofs=(target,)), Ms(state.proved_ms + 2_500)
     )
-    assert f"not here: {FLOOR} {here + 1} (here: {here})" in text
+    assert f"missing values: {FLOOR} {here + 1} (local: {here})" in text
 
 
 def test_compiling_is_counted_with_its_processor_time() -> None:
--- a/tests/test_proofs.py
+++ b/tests/test_proofs.py
@@ -118,7 +118,7 @@
         state = came(answered(state, nonce, 1, 1_005), 1, 1_010)
     for number in range(20):
         at_ms = 1_400 + 200 * number
-        state, nonce = asked(replace(state, next_ms=Ms(0)), at_ms)
+        state, nonce = asked(replace(state, next_probe_ms=Ms(0)), at_ms)
         assert differ(state, nonce, (2 + number, 3 + number), at_ms + 5) == []
         ack = ProbeAck(nonce, 1, (*NOTHING, copy_of(2 + number)), (), ())
         state, _ = replica.step(state, From(MEMBERS[0], LIFE, ack), Ms(at_ms + 5))
@@ -128,7 +128,7 @@
     state, finished = begun(), list[int]()
     for number in range(6):
         at_ms = 1_400 + 200 * number
-        state, nonce = asked(replace(state, next_ms=Ms(0)), at_ms)
+        state, nonce = asked(replace(state, next_probe_ms=Ms(0)), at_ms)
         if differ(state, nonce, (2, 3), at_ms + 5):
             finished.append(at_ms - 1_400)
         for member, version in zip(MEMBERS, (2, 3), strict=False):
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -108,7 +108,7 @@
     assert len(probes) == 3
     for number, member in enumerate(probes):
         state, _ = replica.step(state, answer(state, member, 4 + number % 2), Ms(1_530))
-    assert state.next_ms <= 1_550
+    assert state.next_probe_ms <= 1_550
     _, again = asked_of(state, 1_550)
     assert len(again) == 5
 
@@ -117,18 +117,18 @@
     state, probes = asked_of(asking(within_ms=0), 1_500)
     for number, member in enumerate(probes):
         state, _ = replica.step(state, answer(state, member, 4 + number % 2), Ms(1_530))
-    assert state.next_ms > 1_600
+    assert state.next_probe_ms > 1_600
 
 
 def test_members_of_other_regions_are_asked_more_rarely() -> None:
     """In turn only as many as a proof needs, and all of the own region; all of them now and then,
     as they count who has been silent."""
-    state = replace(asking(within_ms=0), turn_ms=Ms(0))
+    state = replace(asking(within_ms=0), last_turn_ms=Ms(0))
     state, probes = asked_of(state, 1_500)
     assert {"m-a1", "m-a2"} < set(probes) and len(probes) == 3
-    late = replace(state, proved_ms=Ms(900), turn_ms=Ms(0))
+    late = replace(state, proved_ms=Ms(900), last_turn_ms=Ms(0))
     assert len(asked_of(late, 1_500)[1]) == 5
-    rare = replace(state, all_probed_ms=Ms(0), turn_ms=Ms(0))
+    rare = replace(state, last_full_probe_ms=Ms(0), last_turn_ms=Ms(0))
     assert len(asked_of(rare, 1_500)[1]) == 5
 
 
@@ -144,15 +144,15 @@
         zones=Map({name: name[2:] for name in MEMBERS}),
         places=Places("a1", REGIONS),
         proved_ms=Ms(1_400),
-        turn_ms=Ms(1_400),
+        last_turn_ms=Ms(1_400),
         value_requests=ValueRequests(heard_ms=Ms(1_400)),
-        all_probed_ms=Ms(1_400),
+        last_full_probe_ms=Ms(1_400),
         reports=replica.Reports((), (), probe_within_ms=within_ms, placement=NodeId("m-b1")),
     )
 
 
 def asked_of(state: replica.State, at_ms: int) -> tuple[replica.State, tuple[str, ...]]:
-    state, effects = replica.step(replace(state, next_ms=Ms(at_ms)), Tick(0), Ms(at_ms))
+    state, effects = replica.step(replace(state, next_probe_ms=Ms(at_ms)), Tick(0), Ms(at_ms))
     return state, tuple(
         e.to for e in effects if isinstance(e, Send) and isinstance(e.message, Probe)
     )
--- a/tests/test_report_changes.py
+++ b/tests/test_report_changes.py
@@ -68,7 +68,7 @@
         nonlocal changes, number
         number += 1
         reports = tuple(report(name, mean) for name, mean in now.items())
-        changes = changes.noted(reports, number)
+        changes = changes.with_reports(reports, number)
         if end == "restart":
             member.restarts()
         if end == "lost":
@@ -89,28 +89,28 @@
 
 
 def test_what_did_not_change_is_not_told_again() -> None:
-    changes = ReportChanges().noted(tuple(report(f"i{n}") for n in range(200)), 1)
+    changes = ReportChanges().with_reports(tuple(report(f"i{n}") for n in range(200)), 1)
     assert len(probe(changes, 1).held) == 200
     changes = changes.answered(MEMBER, Incarnation(1), 1, 1)
     busy = (report("i0", 500), *(report(f"i{n}") for n in range(1, 199)))
-    asked = probe(changes.noted(busy, 2), 2)
+    asked = probe(changes.with_reports(busy, 2), 2)
     assert ([each.instance for each in asked.held], asked.held_no_more) == (["i0"], ("i199",))
 
 
 def test_an_answer_of_a_new_life_to_an_earlier_question_proves_nothing() -> None:
-    changes = ReportChanges().noted((report("a"),), 1).answered(MEMBER, Incarnation(1), 1, 1)
-    changes = changes.noted((report("a"),), 2).noted((report("a"),), 3)
+    changes = ReportChanges().with_reports((report("a"),), 1).answered(MEMBER, Incarnation(1), 1, 1)
+    changes = changes.with_reports((report("a"),), 2).with_reports((report("a"),), 3)
     changes = changes.answered(MEMBER, Incarnation(2), 2, 3).answered(MEMBER, Incarnation(2), 3, 3)
     assert changes.base(MEMBER) == FULL_REPORT
-    changes = changes.noted((report("a"),), 4).answered(MEMBER, Incarnation(2), 4, 4)
+    changes = changes.with_reports((report("a"),), 4).answered(MEMBER, Incarnation(2), 4, 4)
     assert changes.base(MEMBER) == 4
 
 
 def test_what_is_held_no_more_is_forgotten_in_bounds() -> None:
-    changes = ReportChanges().noted((), 1).answered(MEMBER, Incarnation(1), 1, 1)
+    changes = ReportChanges().with_reports((), 1).answered(MEMBER, Incarnation(1), 1, 1)
     for number in range(2, MAX_REMOVED + 10):
-        changes = changes.noted((report(f"i{number}"),), number)
-    assert len(changes.gone) <= MAX_REMOVED and changes.base(MEMBER) == FULL_REPORT
+        changes = changes.with_reports((report(f"i{number}"),), number)
+    assert len(changes.removed) <= MAX_REMOVED and changes.base(MEMBER) == FULL_REPORT
 
 
 def test_every_member_knows_what_exchanges_hold(sim: Sim) -> None:
--- a/tests/test_switches.py
+++ b/tests/test_switches.py
@@ -130,7 +130,7 @@
 def built(switches: Switches) -> State:
     me = Me(NodeId("ex1"), Incarnation(1), Address("10.0.0.1:1"), "exchange", "north")
     process = build_exchange(me, NoWorld(), Start((), 1, switches=switches))  # type: ignore[arg-type]
-    assert process.actors["replica"].state.compiles.rests == (
+    assert process.actors["replica"].state.compile_queue.rest_factor == (
         REST_FACTOR if switches.compile_rests else 0
     )
     state = process.actors["calls"].state
