--- a/spokeroute/register/membership/__init__.py
+++ b/spokeroute/register/membership/__init__.py
@@ -1,1 +1,1 @@
-"""The membership: whose disks count, how that changes, and how a member leaves."""
+"""Membership: which members' disks count, how that changes, and how a member leaves."""
--- a/spokeroute/register/membership/accepted_copies.py
+++ b/spokeroute/register/membership/accepted_copies.py
@@ -1,4 +1,5 @@
-"""What a member has on disk, told as ballots, and handed on to members that lack some of it."""
+"""The acceptor's side of a handover: lists its accepted ballots, and sends copies to members that
+lack them."""
 
 from __future__ import annotations
 
@@ -20,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandOverCopy:
-    """From the proposer: hand this chosen copy to a member that missed it."""
+    """From the proposer: send this chosen copy to a member that missed it."""
 
     member: NodeId
     copy: Copy
@@ -28,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandOverRegisters:
-    """To the acceptor: hand what this member has of these registers to a member that stays."""
+    """To the acceptor: send the accepted values of these registers to a member that stays."""
 
     member: NodeId
     names: tuple[str, ...]
@@ -36,35 +37,35 @@
 
 @dataclass(frozen=True, slots=True)
 class SuspendAccepts:
-    """To the acceptor: whether this member, which is about to end, accepts nothing more."""
+    """To the acceptor: whether this member, which is about to stop, refuses all accepts."""
 
-    quiet: bool
+    suspended: bool
 
 
 def step(state: State, event: object) -> tuple[State, Effects]:
-    """The acceptor's part in a handover: it tells, hands on, and stops accepting.
+    """Handles one event of a handover in the acceptor.
 
     Example:
         state, effects = step(state, SuspendAccepts(True))
     """
     match event:
         case From(node, _, HeldAsk() as ask):
-            # Its own comparison counts what is on its way to the disk, too.
+            # For its own comparison, a member also counts what is still being written to disk.
             cells = state.cells if node == state.me else state.synced
             return state, (Send(node, ballots_page(cells, ask)),)
         case HandOverCopy(member, copy):
             cell = state.synced.get(copy.name, EMPTY)
             if cell.accepted == ballot_of(copy):
                 return state, (Send(member, HandOver(state.epoch, copy, cell.value)),)
-        case HandOverRegisters() as asked:
-            return state, handover_messages(state.synced, state.epoch, asked)
-        case SuspendAccepts(quiet):
-            return replace(state, quiet=quiet), ()
+        case HandOverRegisters() as order:
+            return state, handover_messages(state.synced, state.epoch, order)
+        case SuspendAccepts(suspended):
+            return replace(state, quiet=suspended), ()
     return state, ()
 
 
 def ballots_page(cells: Mapping[str, Cell], ask: HeldAsk) -> HeldPart:
-    """A page of accepted ballots.
+    """Returns one page of accepted ballots.
 
     Example:
         ballots_page({}, HeldAsk(1, "")).last == ""
@@ -75,13 +76,13 @@
     return HeldPart(ask.nonce, ask.after, copies, page[-1] if len(names) > len(page) else "")
 
 
-def handover_messages(cells: Mapping[str, Cell], epoch: int, asked: HandOverRegisters) -> Effects:
-    """The accepts of earlier rounds once more, to a member that missed them.
+def handover_messages(cells: Mapping[str, Cell], epoch: int, order: HandOverRegisters) -> Effects:
+    """Returns repeated accepts of earlier rounds, for a member that missed them.
 
     Example:
         handover_messages({}, 1, HandOverRegisters(NodeId("m2"), ("floor",))) == ()
     """
-    known = [(name, cells[name]) for name in asked.names if name in cells]
+    known = [(name, cells[name]) for name in order.names if name in cells]
     return tuple(
-        Send(asked.member, HandOver(epoch, cell.copy(name), cell.value)) for name, cell in known
+        Send(order.member, HandOver(epoch, cell.copy(name), cell.value)) for name, cell in known
     )
--- a/spokeroute/register/membership/handover.py
+++ b/spokeroute/register/membership/handover.py
@@ -1,8 +1,9 @@
-"""The handover: what a member that leaves alone may hold comes to a majority of those who stay.
+"""Handover: copies what a member that leaves without a successor may hold alone to a majority of
+the members that stay.
 
-The members' accepted ballots are compared, page by page; what a member that stays lacks is handed
-to it as the accept of its round once more, which is safe at any time. When a majority of those
-who stay has all, this member stops accepting, compares once more, and may end.
+The members' accepted ballots are compared page by page. What a staying member lacks is sent to it
+as a repeated accept of its round, which is safe at any time. When a majority of the staying members
+has everything, the leaving member stops accepting, compares once more, and may then stop.
 """
 
 from __future__ import annotations
@@ -18,10 +19,10 @@
 from spokeroute.register.membership.accepted_copies import HandOverRegisters, SuspendAccepts
 from spokeroute.transport.messages import HeldAsk, HeldPart
 
-REPEAT_MS = 300  # a page that was not answered is asked for again
-AGAIN_MS = 60  # what was handed over is looked for after this
-QUIET_MS = 1_000  # a member that accepts nothing and can't end accepts again after this
-HAND_AT_ONCE = 200
+PAGE_RETRY_MS = 300  # after which an unanswered page is requested again
+RECHECK_MS = 60  # after sending registers, before the next comparison
+MAX_SUSPENDED_MS = 1_000  # a member that can't stop accepts again after this
+MAX_REGISTERS_AT_ONCE = 200  # per member
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,109 +34,112 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelHandover:
-    """From membership: this member is needed: go on accepting."""
+    """From membership: this member is still needed and goes on accepting."""
 
 
 @dataclass(frozen=True, slots=True)
 class State:
-    """Whom to compare with, and what they said in the present comparison."""
+    """The members to compare with, and their ballots in the current comparison."""
 
     me: MemberId
-    members: tuple[MemberId, ...] | None = None  # None while this member does not hand over
+    members: tuple[MemberId, ...] | None = None  # None while there is no handover
     nonce: int = 0
-    held: Map[str, Map[str, Ballot]] = field(default_factory=Map)
-    next_page: Map[str, str] = field(default_factory=Map)  # absent: that member said all
+    ballots: Map[str, Map[str, Ballot]] = field(default_factory=Map)  # by member and register
+    next_page: Map[str, str] = field(default_factory=Map)  # absent: all pages have arrived
     asked_ms: Ms = Ms(0)
-    handed_ms: Ms = Ms(-1)  # when this comparison handed something over
-    quiet_ms: Ms = Ms(-1)  # since when this member accepts nothing
+    handed_over_ms: Ms = Ms(-1)  # when this comparison sent registers to a member
+    suspended_ms: Ms = Ms(-1)  # since when this member accepts nothing
     done: bool = False
 
 
 def step(state: State, event: object, now_ms: Ms) -> tuple[State, Effects]:
-    """The handover's core.
+    """Handles one event of the handover.
 
     Example:
         state, effects = step(State(MemberId("m1")), StartHandover((MemberId("m2"),)), now_ms)
     """
     match event:
         case StartHandover(members) if members != state.members:
-            return _begin(replace(state, members=members, done=not members), now_ms)
+            return _start_comparison(replace(state, members=members, done=not members), now_ms)
         case CancelHandover() if state.members is not None:
-            state = replace(state, members=None, quiet_ms=Ms(-1), done=False)
+            state = replace(state, members=None, suspended_ms=Ms(-1), done=False)
             return state, (Tell("acceptor", SuspendAccepts(False)),)
-        case From(node, _, HeldPart() as part):
-            return _answered(state, node, part, now_ms)
+        case From(node, _, HeldPart() as page):
+            return _page_received(state, node, page, now_ms)
         case Tick() if state.members and not state.done:
-            return _wake(state, now_ms)
+            return _tick(state, now_ms)
     return state, ()
 
 
-def _begin(state: State, now_ms: Ms) -> tuple[State, Effects]:
-    """Compare from the start: this member's own ballots first, then the others'."""
+def _start_comparison(state: State, now_ms: Ms) -> tuple[State, Effects]:
+    """Requests the first page of ballots from this member itself and from the staying members."""
     everyone = (state.me, *(state.members or ()))
     state = replace(
         state,
         nonce=state.nonce + 1,
-        held=Map(),
+        ballots=Map(),
         next_page=Map({m: "" for m in everyone}),
         asked_ms=now_ms,
-        handed_ms=Ms(-1),
+        handed_over_ms=Ms(-1),
     )
     return state, tuple(Send(NodeId(m), HeldAsk(state.nonce, "")) for m in everyone)
 
 
-def _answered(state: State, node: NodeId, part: HeldPart, now_ms: Ms) -> tuple[State, Effects]:
-    if part.nonce != state.nonce or state.next_page.get(node) != part.after or state.done:
+def _page_received(state: State, node: NodeId, page: HeldPart, now_ms: Ms) -> tuple[State, Effects]:
+    if page.nonce != state.nonce or state.next_page.get(node) != page.after or state.done:
         return state, ()
-    ballots = {copy.name: ballot_of(copy) for copy in part.copies}
-    held = state.held.get(node, Map()).update(ballots)
-    state = replace(state, held=state.held.set(node, held))
-    if part.last:
-        state = replace(state, next_page=state.next_page.set(node, part.last))
-        return state, (Send(node, HeldAsk(state.nonce, part.last)),)
+    received = {copy.name: ballot_of(copy) for copy in page.copies}
+    ballots = state.ballots.get(node, Map()).update(received)
+    state = replace(state, ballots=state.ballots.set(node, ballots))
+    if page.last:
+        state = replace(state, next_page=state.next_page.set(node, page.last))
+        return state, (Send(node, HeldAsk(state.nonce, page.last)),)
     state = replace(state, next_page=state.next_page.delete(node))
-    return _compared(state, now_ms)
+    return _compare(state, now_ms)
 
 
-def _compared(state: State, now_ms: Ms) -> tuple[State, Effects]:
-    """Whether enough of those who answered have all; if not, hand over what they lack."""
+def _compare(state: State, now_ms: Ms) -> tuple[State, Effects]:
+    """Checks whether a majority of the staying members has everything; if not, hands over what the
+    members that have answered completely lack."""
     members = state.members or ()
-    whole = [m for m in members if m not in state.next_page]
+    complete = [m for m in members if m not in state.next_page]
     if state.me in state.next_page:
         return state, ()
-    lacks = {m: _lacking(state, m) for m in whole}
-    if sum(1 for names in lacks.values() if not names) >= len(members) // 2 + 1:
-        return _confirmed(state, now_ms)
+    lacking = {m: _lacking(state, m) for m in complete}
+    if sum(1 for names in lacking.values() if not names) >= len(members) // 2 + 1:
+        return _majority_complete(state, now_ms)
     effects: list[Effect] = []
-    for member, names in lacks.items():
+    for member, names in lacking.items():
         if names:
-            hand = HandOverRegisters(NodeId(member), names[:HAND_AT_ONCE])
-            effects.append(Tell("acceptor", hand))
-    return replace(state, handed_ms=now_ms if effects else state.handed_ms), tuple(effects)
+            order = HandOverRegisters(NodeId(member), names[:MAX_REGISTERS_AT_ONCE])
+            effects.append(Tell("acceptor", order))
+    return replace(state, handed_over_ms=now_ms if effects else state.handed_over_ms), tuple(
+        effects
+    )
 
 
 def _lacking(state: State, member: MemberId) -> tuple[str, ...]:
-    theirs = state.held.get(member, Map())
-    mine = state.held.get(state.me, Map())
+    theirs = state.ballots.get(member, Map())
+    mine = state.ballots.get(state.me, Map())
     return tuple(sorted(n for n, ballot in mine.items() if theirs.get(n, NO_BALLOT) < ballot))
 
 
-def _confirmed(state: State, now_ms: Ms) -> tuple[State, Effects]:
-    """All is at a majority of those who stay: stop accepting, and compare once more."""
-    if state.quiet_ms >= 0:
-        text = "all that this member accepted is at a majority of those who stay"
+def _majority_complete(state: State, now_ms: Ms) -> tuple[State, Effects]:
+    """Stops accepting and compares once more; the second time, the handover is done."""
+    if state.suspended_ms >= 0:
+        text = "handover done: a majority of the staying members has all accepted registers"
         return replace(state, done=True), (Note(text),)
-    state, asks = _begin(replace(state, quiet_ms=now_ms), now_ms)
+    state, asks = _start_comparison(replace(state, suspended_ms=now_ms), now_ms)
     return state, (Tell("acceptor", SuspendAccepts(True)), *asks)
 
 
-def _wake(state: State, now_ms: Ms) -> tuple[State, Effects]:
-    if 0 <= state.quiet_ms <= now_ms - QUIET_MS:
-        state, asks = _begin(replace(state, quiet_ms=Ms(-1)), now_ms)
+def _tick(state: State, now_ms: Ms) -> tuple[State, Effects]:
+    if 0 <= state.suspended_ms <= now_ms - MAX_SUSPENDED_MS:
+        state, asks = _start_comparison(replace(state, suspended_ms=Ms(-1)), now_ms)
         return state, (Tell("acceptor", SuspendAccepts(False)), *asks)
-    if 0 <= state.handed_ms <= now_ms - AGAIN_MS:
-        return _begin(state, now_ms)
-    if now_ms - state.asked_ms < REPEAT_MS:
+    if 0 <= state.handed_over_ms <= now_ms - RECHECK_MS:
+        return _start_comparison(state, now_ms)
+    if now_ms - state.asked_ms < PAGE_RETRY_MS:
         return state, ()
     asks = tuple(
         Send(NodeId(m), HeldAsk(state.nonce, after)) for m, after in state.next_page.items()
--- a/spokeroute/register/membership/membership.py
+++ b/spokeroute/register/membership/membership.py
@@ -1,9 +1,9 @@
-"""The membership: founding, heartbeats, and the roster's changes.
+"""Membership: founding of the core, heartbeats, and changes of the roster.
 
-Founding needs every seed to be a blank disk, so a lost disk can't found a second core.
-Blank disks that come later are taken in as ``membership`` says: the roster register changes
-at the old roster's majority, everyone moves to the new epoch, and a newcomer votes only
-after it copied a majority of the old members under that epoch.
+Founding needs every seed to have a blank disk, so that a member that lost its disk can't found a
+second core. Blank members that appear later join as the policy decides: the roster register changes
+at a majority of the old roster, all members move to the new epoch, and a newcomer votes only after
+it has copied from a majority of the old members in that epoch.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 from spokeroute.register.cells import Roster, pack_roster, read_roster, unpack_roster
 from spokeroute.register.changes import Ask, Outcome, RosterIs, Settled, Swap
 from spokeroute.register.disk.store import StoreWritable
-from spokeroute.register.membership.bootstrap import founded, outlived
-from spokeroute.register.membership.heartbeats import everyone, heartbeats, status_of
-from spokeroute.register.membership.leave import Leave, parting
+from spokeroute.register.membership.bootstrap import first_roster, replaced_by_blank
+from spokeroute.register.membership.heartbeats import heartbeat_targets, heartbeats, peer_status
+from spokeroute.register.membership.leave import Leave, leave_decision
 from spokeroute.register.membership.policy import (
     HEARTBEAT_MS,
     CoreView,
@@ -33,70 +33,70 @@
 from spokeroute.transport.messages import CopyAsk, CopyPart, Heartbeat, Probe, RosterNews, ViewEntry
 from spokeroute.transport.peers import ViewNow
 
-ASK_MS = 2_000
-TURN_EVERY_MS = 50
+PROPOSAL_TIMEOUT_MS = 2_000
+RECHECK_INTERVAL_MS = 50
 COPY_RETRY_MS = 1_000
 
 
 def step(state: State, event: object, now_ms: Ms) -> tuple[State, Effects]:
-    """The membership's core.
+    """Handles one event of the membership.
 
     Example:
         state, effects = step(state, Tick(), now_ms)
     """
     match event:
         case Tick() if state.leaving:
-            state, effects = _turn(state, now_ms)
-            state, more = _part(state, now_ms)
+            state, effects = _tick(state, now_ms)
+            state, more = _update_leave_status(state, now_ms)
             return state, (*effects, *more)
         case Tick():
-            return _turn(state, now_ms)
+            return _tick(state, now_ms)
         case Leave() if not state.leaving:
-            return _leave(state, now_ms)
+            return _start_leaving(state, now_ms)
         case ViewNow(known):
-            return _viewed(state, known, now_ms)
-        case From(node, _, Heartbeat() as alive):
-            return _heard(state, node, alive, now_ms)
+            return _view_changed(state, known, now_ms)
+        case From(node, _, Heartbeat() as heartbeat):
+            return _heartbeat_received(state, node, heartbeat, now_ms)
         case StoreWritable(writable):
-            return _store(state, writable, now_ms)
+            return _store_changed(state, writable, now_ms)
         case From(node, _, RosterNews(value)) if state.writable:
             roster = read_roster(value)
-            return _news(state, node, roster) if roster else (state, ())
+            return _roster_received(state, node, roster) if roster else (state, ())
         case From(node, _, CopyPart() as part) if state.writable:
-            return _copied(state, node, part, now_ms)
+            return _copy_received(state, node, part, now_ms)
         case From(node, _, Probe(_, epoch)):
             if state.roster and epoch < state.roster.epoch:
                 return state, (Send(node, RosterNews(pack_roster(state.roster))),)
         case Adopted(roster, votes):
-            return _adopted(state, roster, votes, now_ms)
-        case Settled(op_id, _, outcome, version, value) if op_id == state.proposing:
-            return _proposed(state, outcome, version, value)
+            return _roster_adopted(state, roster, votes, now_ms)
+        case Settled(op_id, _, outcome, version, value) if op_id == state.proposal:
+            return _proposal_settled(state, outcome, version, value)
     return state, ()
 
 
-def _turn(state: State, now_ms: Ms) -> tuple[State, Effects]:
-    if now_ms >= state.next_ms:
-        return _round(state, now_ms)
-    if 0 <= state.turn_ms <= now_ms:
-        return _replace(state, now_ms)
+def _tick(state: State, now_ms: Ms) -> tuple[State, Effects]:
+    if now_ms >= state.next_heartbeat_ms:
+        return _heartbeat_round(state, now_ms)
+    if 0 <= state.recheck_ms <= now_ms:
+        return _propose_next_roster(state, now_ms)
     return state, ()
 
 
-def _leave(state: State, now_ms: Ms) -> tuple[State, Effects]:
-    """This process is asked to stop: everyone hears of it at once."""
+def _start_leaving(state: State, now_ms: Ms) -> tuple[State, Effects]:
+    """Announces at once that this process was asked to stop."""
     state = replace(state, leaving=True, leaving_ms=now_ms)
-    greetings = heartbeats(state, everyone(state), now_ms)
-    state, effects = _replace(state, now_ms)
-    return state, (*greetings, *effects)
+    announcements = heartbeats(state, heartbeat_targets(state), now_ms)
+    state, effects = _propose_next_roster(state, now_ms)
+    return state, (*announcements, *effects)
 
 
-def _part(state: State, now_ms: Ms) -> tuple[State, Effects]:
-    """Whether this member, which leaves, is still needed, and what it has to hand over first."""
-    standing, order = parting(_view(state, now_ms), state.votes, bool(state.proposing))
-    return replace(state, leave_status=standing), (Tell("handover", order),)
+def _update_leave_status(state: State, now_ms: Ms) -> tuple[State, Effects]:
+    """Decides whether this leaving member is still needed, and what it has to hand over first."""
+    status, order = leave_decision(_core_view(state, now_ms), state.votes, bool(state.proposal))
+    return replace(state, leave_status=status), (Tell("handover", order),)
 
 
-def _view(state: State, now_ms: Ms) -> CoreView:
+def _core_view(state: State, now_ms: Ms) -> CoreView:
     roster = state.roster or Roster(Epoch(0), ())
     return CoreView(
         state.me, roster, state.peer_statuses, state.zones, state.bounds.catch_up_ms,
@@ -104,41 +104,41 @@
     )  # fmt: skip
 
 
-def _round(state: State, now_ms: Ms) -> tuple[State, Effects]:
+def _heartbeat_round(state: State, now_ms: Ms) -> tuple[State, Effects]:
     started_ms = state.started_ms or now_ms
-    state = replace(state, next_ms=Ms(now_ms + HEARTBEAT_MS), started_ms=started_ms)
-    effects: list[Effect] = heartbeats(state, everyone(state), now_ms)
+    state = replace(state, next_heartbeat_ms=Ms(now_ms + HEARTBEAT_MS), started_ms=started_ms)
+    effects: list[Effect] = heartbeats(state, heartbeat_targets(state), now_ms)
     if state.roster is None:
-        effects.extend(_found(state, now_ms))
-    state, more = _copy(state, now_ms)
+        effects.extend(_found_core(state, now_ms))
+    state, more = _request_copies(state, now_ms)
     effects.extend(more)
-    state, more = _replace(state, now_ms)
+    state, more = _propose_next_roster(state, now_ms)
     effects.extend(more)
-    state, more = _told_missing(state, now_ms)
+    state, more = _log_missing_majority(state, now_ms)
     return state, (*effects, *more)
 
 
-def _told_missing(state: State, now_ms: Ms) -> tuple[State, Effects]:
-    """Say whose disks are needed, once for each such set of members."""
-    missing = missing_majority(_view(state, now_ms)) if state.roster else None
+def _log_missing_majority(state: State, now_ms: Ms) -> tuple[State, Effects]:
+    """Logs which members' disks are needed, once for each set of missing members."""
+    missing = missing_majority(_core_view(state, now_ms)) if state.roster else None
     if missing == state.missing:
         return state, ()
     state = replace(state, missing=missing)
-    text = missing.text if missing else "a majority of the core is here again"
+    text = missing.text if missing else "a majority of the core is available again"
     return state, (Note(text, alarm=missing is not None),)
 
 
-def _store(state: State, writable: bool, now_ms: Ms) -> tuple[State, Effects]:
-    """The others hear at once whether this member's store takes writes. What was copied and not
-    yet voted with may be lost with a failed write: copying begins anew."""
+def _store_changed(state: State, writable: bool, now_ms: Ms) -> tuple[State, Effects]:
+    """Announces at once whether this member's store takes writes. Cells that were copied but not
+    yet voted with may be lost with a failed write, so copying starts over."""
     state = replace(state, writable=writable, copied=Map(), copy_asked_ms=Map())
-    effects = heartbeats(state, everyone(state), now_ms)
-    state, asks = _copy(state, now_ms)
+    effects = heartbeats(state, heartbeat_targets(state), now_ms)
+    state, asks = _request_copies(state, now_ms)
     return state, (*effects, *asks)
 
 
-def _viewed(state: State, known: tuple[ViewEntry, ...], now_ms: Ms) -> tuple[State, Effects]:
-    """Whoever is new in the view is greeted at once."""
+def _view_changed(state: State, known: tuple[ViewEntry, ...], now_ms: Ms) -> tuple[State, Effects]:
+    """Sends a heartbeat at once to registries that are new in the view."""
     core = [e for e in known if e.role == "registry"]
     new = tuple(e.node for e in core if e.node not in state.addresses)
     state = replace(
@@ -149,63 +149,66 @@
     return state, tuple(heartbeats(state, new, now_ms))
 
 
-def _found(state: State, now_ms: Ms) -> list[Effect]:
-    roster = founded(state, now_ms)
+def _found_core(state: State, now_ms: Ms) -> list[Effect]:
+    roster = first_roster(state, now_ms)
     if roster is None:
         return []
     value = pack_roster(roster)
     return [Send(m, RosterNews(value)) for m in roster.ids]
 
 
-def _heard(state: State, node: NodeId, alive: Heartbeat, now_ms: Ms) -> tuple[State, Effects]:
+def _heartbeat_received(
+    state: State, node: NodeId, heartbeat: Heartbeat, now_ms: Ms
+) -> tuple[State, Effects]:
     old = state.peer_statuses.get(node)
-    sign = status_of(state, node, alive, now_ms)
-    state = replace(state, peer_statuses=state.peer_statuses.set(node, sign))
+    status = peer_status(state, node, heartbeat, now_ms)
+    state = replace(state, peer_statuses=state.peer_statuses.set(node, status))
     effects: list[Effect] = []
-    if state.roster and alive.epoch < state.roster.epoch:
+    if state.roster and heartbeat.epoch < state.roster.epoch:
         effects.append(Send(node, RosterNews(pack_roster(state.roster))))
     if state.roster is None and old is None:
-        # Founding waits until all seeds said that they hear each other.
-        effects.extend(heartbeats(state, everyone(state), now_ms))
-    if alive.blank or alive.leaving:
-        state, more = _replace(state, now_ms)
+        # Founding waits until all seeds have reported that they hear each other.
+        effects.extend(heartbeats(state, heartbeat_targets(state), now_ms))
+    if heartbeat.blank or heartbeat.leaving:
+        state, more = _propose_next_roster(state, now_ms)
     else:
-        state, more = _copy(state, now_ms)
+        state, more = _request_copies(state, now_ms)
     return state, (*effects, *more)
 
 
-def _news(state: State, node: NodeId, roster: Roster) -> tuple[State, Effects]:
+def _roster_received(state: State, node: NodeId, roster: Roster) -> tuple[State, Effects]:
     if state.roster and roster.epoch <= state.roster.epoch:
         return state, ()
-    if state.roster is None and outlived(state, node):
+    if state.roster is None and replaced_by_blank(state, node):
         return state, ()
     if state.me not in roster.ids:
         if state.roster is None or state.me not in state.roster.ids:
             return state, ()
-        text = "this member was replaced in the roster: move its data folder away to join anew"
+        text = "this member was replaced in the roster: move its data folder away to rejoin"
         if state.leaving:
-            text = "its successor is in the roster: this member ends once the successor votes"
-        news = Note(text, alarm=not state.leaving)
-        return state, (Tell("acceptor", Adopt(roster, False)), news)
-    # A blank member that never joined was here when the core was founded: its empty disk tells
-    # the truth. One that joined has less than the member before it until it copied.
+            text = "a successor is in the roster: this member stops once the successor votes"
+        note = Note(text, alarm=not state.leaving)
+        return state, (Tell("acceptor", Adopt(roster, False)), note)
+    # A blank member that never joined was present when the core was founded, so its empty disk is
+    # complete. One that joined later has less than its predecessor until it has copied.
     votes = state.votes if state.roster else state.me not in roster.joining
     return state, (Tell("acceptor", Adopt(roster, votes)),)
 
 
-def _adopted(state: State, roster: Roster, votes: bool, now_ms: Ms) -> tuple[State, Effects]:
+def _roster_adopted(state: State, roster: Roster, votes: bool, now_ms: Ms) -> tuple[State, Effects]:
     if state.roster and roster.epoch > state.roster.epoch:
         state = replace(state, copied=Map(), copy_asked_ms=Map(), epoch_ms=now_ms)
     state = replace(state, roster=roster, votes=votes)
-    told = [Tell(name, RosterChanged(roster)) for name in state.changes]
-    greetings = heartbeats(state, everyone(state), now_ms)  # newcomers wait for them to copy
-    state, asks = _copy(state, now_ms)
-    return state, (Tell("proposer", RosterIs(roster)), *told, *greetings, *asks)
+    notices = [Tell(name, RosterChanged(roster)) for name in state.roster_listeners]
+    # Newcomers wait for these heartbeats before they copy.
+    announcements = heartbeats(state, heartbeat_targets(state), now_ms)
+    state, asks = _request_copies(state, now_ms)
+    return state, (Tell("proposer", RosterIs(roster)), *notices, *announcements, *asks)
 
 
-def _copy(state: State, now_ms: Ms) -> tuple[State, Effects]:
-    """Ask as many old members as are needed for their cells, those of this zone first; another
-    one where one is late."""
+def _request_copies(state: State, now_ms: Ms) -> tuple[State, Effects]:
+    """Requests cells from as many old members as are needed, those of this zone first, and from
+    another one if one is late."""
     roster = state.roster
     if roster is None or state.votes or not state.writable or state.me not in roster.ids:
         return state, ()
@@ -219,7 +222,7 @@
         and m in state.peer_statuses
         and state.peer_statuses[m].epoch == roster.epoch
     ]
-    whole = sum(1 for m in roster.previous if state.copied.get(m) == ".")
+    complete = sum(1 for m in roster.previous if state.copied.get(m) == ".")
     busy = sum(
         1 for m in sources if state.peer_statuses[m].votes and asked_ms.get(m, late_ms) > late_ms
     )
@@ -232,14 +235,14 @@
             m,
         )
     )
-    chosen = idle[: max(0, len(roster.previous) // 2 + 1 - whole - busy)]
+    chosen = idle[: max(0, len(roster.previous) // 2 + 1 - complete - busy)]
     for member in chosen:
         asked_ms = asked_ms.set(member, now_ms)
     asks = tuple(Send(m, CopyAsk(roster.epoch, state.copied.get(m, ""))) for m in chosen)
     return replace(state, copy_asked_ms=asked_ms), asks
 
 
-def _copied(state: State, node: NodeId, part: CopyPart, now_ms: Ms) -> tuple[State, Effects]:
+def _copy_received(state: State, node: NodeId, part: CopyPart, now_ms: Ms) -> tuple[State, Effects]:
     roster = state.roster
     if roster is None or state.votes or part.epoch != roster.epoch:
         return state, ()
@@ -247,39 +250,44 @@
         return state, ()
     copied = state.copied.set(node, part.last or ".")
     state = replace(state, copied=copied, copy_asked_ms=state.copy_asked_ms.set(node, now_ms))
-    # The last page is asked for again after a restart, and ends the copy then.
-    reached = ((node, part.last),) if part.last else ()
-    effects: list[Effect] = [Tell("acceptor", TakeCells(part.cells, reached))]
+    # The position is stored only up to the last page but one: after a restart the last page is
+    # requested again, which then completes the copy.
+    progress = ((node, part.last),) if part.last else ()
+    effects: list[Effect] = [Tell("acceptor", TakeCells(part.cells, progress))]
     if part.last:
         effects.append(Send(node, CopyAsk(part.epoch, part.last)))
-    whole = [m for m in roster.previous if copied.get(m) == "."]
-    if len(whole) >= len(roster.previous) // 2 + 1:
+    complete = [m for m in roster.previous if copied.get(m) == "."]
+    if len(complete) >= len(roster.previous) // 2 + 1:
         effects.append(Tell("acceptor", Adopt(roster, True)))
-        effects.append(Note(f"caught up from {', '.join(whole)}; voting in epoch {roster.epoch}"))
+        effects.append(
+            Note(f"copied all cells from {', '.join(complete)}; voting in epoch {roster.epoch}")
+        )
     return state, tuple(effects)
 
 
-def _replace(state: State, now_ms: Ms) -> tuple[State, Effects]:
-    """Bring the next roster to its register, if this member sees that there should be one."""
-    state = replace(state, turn_ms=Ms(-1))
+def _propose_next_roster(state: State, now_ms: Ms) -> tuple[State, Effects]:
+    """Proposes the next roster to its register, if this member sees that the roster must change."""
+    state = replace(state, recheck_ms=Ms(-1))
     roster = state.roster
-    if roster is None or not state.votes or not state.writable or state.proposing:
+    if roster is None or not state.votes or not state.writable or state.proposal:
         return state, ()
-    view = _view(state, now_ms)
+    view = _core_view(state, now_ms)
     new = next_roster(view)
     if new is None:
         if lost_disks(view) or leaver_replacement(view):
-            state = replace(state, turn_ms=Ms(now_ms + TURN_EVERY_MS))
+            state = replace(state, recheck_ms=Ms(now_ms + RECHECK_INTERVAL_MS))
         return state, ()
-    op_id = f"roster/{state.me}/{state.draws + 1}"
-    # The register's version is the epoch less one: epoch 1 was founded, not written.
+    op_id = f"roster/{state.me}/{state.proposals + 1}"
+    # The register's version is the epoch minus one: epoch 1 was founded, not written.
     change = Swap(roster.epoch - 1, pack_roster(new))
-    state = replace(state, proposing=op_id, draws=state.draws + 1)
-    return state, (Tell("proposer", Ask(op_id, ROSTER, change, "membership", ASK_MS)),)
+    state = replace(state, proposal=op_id, proposals=state.proposals + 1)
+    return state, (Tell("proposer", Ask(op_id, ROSTER, change, "membership", PROPOSAL_TIMEOUT_MS)),)
 
 
-def _proposed(state: State, outcome: Outcome, version: int, value: bytes) -> tuple[State, Effects]:
-    state = replace(state, proposing="")
+def _proposal_settled(
+    state: State, outcome: Outcome, version: int, value: bytes
+) -> tuple[State, Effects]:
+    state = replace(state, proposal="")
     if outcome != Outcome.DONE or not value:
         return state, ()
     roster = unpack_roster(value)
--- a/spokeroute/register/membership/missing_members.py
+++ b/spokeroute/register/membership/missing_members.py
@@ -1,4 +1,4 @@
-"""Past the tolerance: whose disks would bring a core back that has no majority."""
+"""Reports which members have to come back before a core that lost its majority can work again."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MissingMembers:
-    """Members that are away, and how many of their disks make a majority again."""
+    """The members that are away, and how many of their disks are needed for a majority."""
 
     epoch: int
     members: tuple[tuple[MemberId, Address], ...]
@@ -19,7 +19,7 @@
 
     @property
     def text(self) -> str:
-        """The same for people.
+        """The same as a text for operators.
 
         Example:
             MissingMembers(1, ((MemberId("m1"), Address("h:1")),), 1).text
@@ -35,12 +35,12 @@
         )
 
 
-def missing_members(roster: Roster, here: Collection[str]) -> MissingMembers:
-    """What a roster lacks where only these of its members are here.
+def missing_members(roster: Roster, present: Collection[str]) -> MissingMembers:
+    """Returns what a roster lacks if only these of its members are present.
 
     Example:
         missing_members(Roster(Epoch(1), ()), ()).needed == 1
     """
-    away = tuple((m, a) for m, a in roster.members if m not in here)
-    present = len(roster.members) - len(away)
-    return MissingMembers(roster.epoch, away, roster.majority - present)
+    away = tuple((m, a) for m, a in roster.members if m not in present)
+    present_count = len(roster.members) - len(away)
+    return MissingMembers(roster.epoch, away, roster.majority - present_count)
--- a/spokeroute/register/membership/policy.py
+++ b/spokeroute/register/membership/policy.py
@@ -1,12 +1,12 @@
-"""Membership: whose disks should count next, by what one member sees of the core.
-
-Pure functions over heartbeats. The membership carries their answers out; the roster's
-register decides. Four things change a roster, in this order: a lost disk (another, blank
-member runs at a member's very address, and an address has one process), a planned leaver
-(it said that it was asked to stop, and a blank one waits elsewhere), growth (the core
-has fewer members than it should, and blank ones wait), and a member that went for good
-(silent for long, or its store takes no writes for as long, while a blank one waits elsewhere).
-A member that copies is waited for before the next change, so that changes come one at a time.
+"""Membership policy: decides the next roster from what one member sees of the core.
+
+Pure functions over heartbeats. The membership carries out their results; the roster's register
+decides. Four things change a roster, in this order: a lost disk (another, blank member runs at a
+member's address, and an address has only one process), a planned leave (the member reported that it
+was asked to stop, and a blank one waits elsewhere), growth (the core has fewer members than
+configured, and blank ones wait), and a permanent failure (the member is silent for long, or its
+store takes no writes for as long, while a blank one waits elsewhere). The next change waits until
+a member that copies is done, so that changes come one at a time.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 from spokeroute.register.membership.missing_members import MissingMembers, missing_members
 
 HEARTBEAT_MS = 500
-CANDIDATE_MS = 1_500
-RECENT_MS = 2 * HEARTBEAT_MS + 200
-TURN_MS = 150  # members propose one after the other, so that they don't duel
+CANDIDATE_WAIT_MS = 1_500
+RECENT_HEARTBEAT_MS = 2 * HEARTBEAT_MS + 200
+PROPOSAL_STAGGER_MS = 150  # members propose one after the other, to avoid duelling proposers
 
 
 @dataclass(frozen=True, slots=True)
 class PeerStatus:
-    """A core node's last heartbeat."""
+    """The status of a core node by its last heartbeat."""
 
     address: Address
     at_ms: Ms
@@ -37,20 +37,20 @@
     hears: tuple[str, ...]
     writable: bool = True
     leaving: bool = False
-    unwritable_ms: Ms = Ms(-1)  # since when it says that its store takes no writes
-    leaving_ms: Ms = Ms(-1)  # since when it says that it leaves
+    unwritable_ms: Ms = Ms(-1)  # since when it reports that its store takes no writes
+    leaving_ms: Ms = Ms(-1)  # since when it reports that it leaves
 
 
 @dataclass(frozen=True, slots=True)
 class CoreView:
-    """What one voting member sees."""
+    """What one voting member sees of the core."""
 
     me: MemberId
     roster: Roster
     peer_statuses: Mapping[str, PeerStatus]
     zones: Mapping[str, str]
     silent_ms: int
-    members: int
+    target_size: int
     started_ms: Ms
     now_ms: Ms
     leaving_ms: Ms = Ms(-1)  # since when this member was asked to stop
@@ -58,7 +58,7 @@
 
 
 def next_roster(view: CoreView) -> Roster | None:
-    """The roster that should come next; None where the present one should stay.
+    """Returns the roster that this member should propose; None if the current one should stay.
 
     Example:
         next_roster(view) is None
@@ -67,123 +67,125 @@
         return None
     lost = lost_disks(view)
     if lost:
-        return _changed(view, lost) if _my_turn(view, lost) else None
-    left = leaver_replacement(view)
-    if left:
-        return _changed(view, left) if _successor_turn(view, left) else None
-    grown = _grown(view)
-    if grown:
-        return _changed(view, {}, grown)
-    gone = _gone(view) if view.now_ms - view.started_ms >= view.silent_ms else {}
-    return _changed(view, gone) if gone else None
+        return _with_changes(view, lost) if _lost_disk_turn(view, lost) else None
+    replacement = leaver_replacement(view)
+    if replacement:
+        return _with_changes(view, replacement) if _leaver_turn(view, replacement) else None
+    added = _members_to_add(view)
+    if added:
+        return _with_changes(view, {}, added)
+    failed = _failed_member(view) if view.now_ms - view.started_ms >= view.silent_ms else {}
+    return _with_changes(view, failed) if failed else None
 
 
 def lost_disks(view: CoreView) -> dict[MemberId, MemberId]:
-    """Members whose disks are lost, and the blank member that runs at the address of each.
+    """Returns the members whose disks are lost, each with the blank member at its address.
 
     Example:
         lost_disks(view) == {}
     """
-    found: dict[MemberId, MemberId] = {}
+    lost: dict[MemberId, MemberId] = {}
     for member, address in view.roster.members:
         old = view.peer_statuses.get(member)
-        there = [
+        candidates = [
             n
             for n, s in view.peer_statuses.items()
-            if _waits(view, n, 0) and s.address == address and (old is None or old.at_ms < s.at_ms)
+            if _is_candidate(view, n, 0)
+            and s.address == address
+            and (old is None or old.at_ms < s.at_ms)
         ]
-        if there and member != view.me:
-            found[member] = MemberId(max(there, key=lambda n: (view.peer_statuses[n].at_ms, n)))
-    return found
+        if candidates and member != view.me:
+            lost[member] = MemberId(max(candidates, key=lambda n: (view.peer_statuses[n].at_ms, n)))
+    return lost
 
 
-def leavers(view: CoreView) -> dict[MemberId, Ms]:
-    """Members that said that they leave, and since when. One that came back and says so no more
-    is none.
+def leaving_members(view: CoreView) -> dict[MemberId, Ms]:
+    """Returns the members that report that they leave, and since when. A member that came back and
+    no longer reports it is not included.
 
     Example:
-        leavers(view) == {}
+        leaving_members(view) == {}
     """
-    found: dict[MemberId, Ms] = {}
+    leaving: dict[MemberId, Ms] = {}
     for member in view.roster.ids:
-        sign = view.peer_statuses.get(member)
+        status = view.peer_statuses.get(member)
         if member == view.me and view.leaving_ms >= 0:
-            found[member] = view.leaving_ms
-        elif member != view.me and sign is not None and sign.leaving:
-            found[member] = sign.leaving_ms
-    return found
+            leaving[member] = view.leaving_ms
+        elif member != view.me and status is not None and status.leaving:
+            leaving[member] = status.leaving_ms
+    return leaving
 
 
 def leaver_replacement(view: CoreView) -> dict[MemberId, MemberId]:
-    """One member that leaves, and the blank one that waits and takes its place: at once, since
-    the leaver itself said that it goes, and goes on voting until its successor does.
+    """Returns one leaving member with the blank one that takes its place. This needs no waiting
+    time: the member itself reported that it leaves, and votes until its successor does.
 
     Example:
         leaver_replacement(view) == {}
     """
-    leaving = leavers(view)
-    blanks = _free(view, 0)
+    leaving = leaving_members(view)
+    candidates = _candidates(view, 0)
     full = [m for m in leaving if m != view.me and not view.peer_statuses[m].writable]
-    if not leaving or not blanks or not _healthy(view, _silent(view) + full):
+    if not leaving or not candidates or not _healthy(view, _silent_members(view) + full):
         return {}
     leaver = min(leaving, key=lambda m: (leaving[m], m))
-    return {leaver: _nearest(view, blanks, leaver)}
+    return {leaver: _nearest_candidate(view, candidates, leaver)}
 
 
 def still_copying(view: CoreView) -> bool:
-    """Whether a member that joined by the present epoch is here and copies: the next change
-    waits for its vote, though no longer than for a silent member. Else the next newcomer had
-    to copy from a majority of a roster in which this one counts and has nothing.
+    """Returns whether a member that joined in the current epoch is present and still copies. The
+    next change waits for its vote, though no longer than for a silent member. Otherwise the next
+    newcomer would copy from a majority of a roster in which this member counts but has no data.
 
     Example:
         still_copying(view) is False
     """
     if view.now_ms - view.epoch_ms >= view.silent_ms:
         return False
-    signs = [
+    joining = [
         view.peer_statuses[m]
         for m in view.roster.joining
         if m in view.peer_statuses and m != view.me
     ]
     return any(
-        not s.votes and not s.blank and s.writable and view.now_ms - s.at_ms < RECENT_MS
-        for s in signs
+        not s.votes and not s.blank and s.writable and view.now_ms - s.at_ms < RECENT_HEARTBEAT_MS
+        for s in joining
     )
 
 
-def _successor_turn(view: CoreView, left: Mapping[MemberId, MemberId]) -> bool:
-    """The leaver proposes its successor first, the others after it."""
-    leaver, blank = next(iter(left.items()))
-    since_ms = max(leavers(view)[leaver], view.peer_statuses[blank].since_ms)
-    others = [leaver, *(m for m in view.roster.ids if m != leaver)]
-    return view.now_ms - since_ms >= others.index(view.me) * TURN_MS
+def _leaver_turn(view: CoreView, replacement: Mapping[MemberId, MemberId]) -> bool:
+    """Returns whether it is this member's turn to propose: the leaving member is first."""
+    leaver, blank = next(iter(replacement.items()))
+    since_ms = max(leaving_members(view)[leaver], view.peer_statuses[blank].since_ms)
+    order = [leaver, *(m for m in view.roster.ids if m != leaver)]
+    return view.now_ms - since_ms >= order.index(view.me) * PROPOSAL_STAGGER_MS
 
 
-def _nearest(view: CoreView, blanks: list[str], member: MemberId) -> MemberId:
+def _nearest_candidate(view: CoreView, candidates: list[str], member: MemberId) -> MemberId:
     zone = view.zones.get(member, "")
-    return MemberId(min(blanks, key=lambda n: (view.zones.get(n, "") != zone, n)))
+    return MemberId(min(candidates, key=lambda n: (view.zones.get(n, "") != zone, n)))
 
 
-def _my_turn(view: CoreView, lost: Mapping[MemberId, MemberId]) -> bool:
-    living = [m for m in view.roster.ids if m not in lost]
+def _lost_disk_turn(view: CoreView, lost: Mapping[MemberId, MemberId]) -> bool:
+    order = [m for m in view.roster.ids if m not in lost]
     since_ms = max(view.peer_statuses[n].since_ms for n in lost.values())
-    return view.now_ms - since_ms >= living.index(view.me) * TURN_MS
+    return view.now_ms - since_ms >= order.index(view.me) * PROPOSAL_STAGGER_MS
 
 
-def _waits(view: CoreView, node: str, for_ms: int) -> bool:
-    """Whether a blank registry is here now, and was for a while."""
-    sign = view.peer_statuses[node]
+def _is_candidate(view: CoreView, node: str, min_wait_ms: int) -> bool:
+    """Returns whether a node is a blank registry that has been present for ``min_wait_ms``."""
+    status = view.peer_statuses[node]
     return (
-        sign.blank
-        and sign.writable
+        status.blank
+        and status.writable
         and node not in view.roster.ids
-        and sign.address != ""
-        and view.now_ms - sign.at_ms < RECENT_MS
-        and view.now_ms - sign.since_ms >= for_ms
+        and status.address != ""
+        and view.now_ms - status.at_ms < RECENT_HEARTBEAT_MS
+        and view.now_ms - status.since_ms >= min_wait_ms
     )
 
 
-def _silent(view: CoreView) -> list[MemberId]:
+def _silent_members(view: CoreView) -> list[MemberId]:
     return [
         m
         for m in view.roster.ids
@@ -195,59 +197,60 @@
     ]
 
 
-def _unwritable(view: CoreView) -> list[MemberId]:
-    """Members that are here, and whose stores have taken no writes for long."""
-    signs = view.peer_statuses
+def _unwritable_members(view: CoreView) -> list[MemberId]:
+    """Returns the members whose stores have taken no writes for ``silent_ms``."""
+    statuses = view.peer_statuses
     return [
         m
         for m in view.roster.ids
         if m != view.me
-        and m in signs
-        and not signs[m].writable
-        and view.now_ms - signs[m].unwritable_ms > view.silent_ms
+        and m in statuses
+        and not statuses[m].writable
+        and view.now_ms - statuses[m].unwritable_ms > view.silent_ms
     ]
 
 
 def missing_majority(view: CoreView) -> MissingMembers | None:
-    """Who is missing, where a majority was silent for longer than a silent member is waited for.
+    """Returns the missing members if too many have been silent for ``silent_ms`` to leave a
+    majority; otherwise None.
 
     Example:
         missing_majority(view) is None
     """
     if view.now_ms - view.started_ms < view.silent_ms:
         return None
-    silent = _silent(view)
+    silent = _silent_members(view)
     missing = missing_members(view.roster, [m for m in view.roster.ids if m not in silent])
     return missing if missing.needed > 0 else None
 
 
-def _free(view: CoreView, for_ms: int = CANDIDATE_MS) -> list[str]:
-    """Blank registries that wait at addresses of their own, in the order to be taken."""
+def _candidates(view: CoreView, min_wait_ms: int = CANDIDATE_WAIT_MS) -> list[str]:
+    """Returns the blank registries at addresses that no member has, in order of selection."""
     taken = {a for _, a in view.roster.members}
     return sorted(
         n
         for n, s in view.peer_statuses.items()
-        if _waits(view, n, for_ms) and s.address not in taken
+        if _is_candidate(view, n, min_wait_ms) and s.address not in taken
     )
 
 
 def _healthy(view: CoreView, away: list[MemberId]) -> bool:
-    """Whether all that are not away vote and take writes, and are a majority: a newcomer copies
-    from them."""
-    here = [view.peer_statuses[m] for m in view.roster.ids if m != view.me and m not in away]
-    whole = all(sign.votes and sign.writable for sign in here)
-    return whole and len(here) + 1 >= view.roster.majority
+    """Returns whether all members that are not away vote and take writes, and form a majority: a
+    newcomer copies from them."""
+    present = [view.peer_statuses[m] for m in view.roster.ids if m != view.me and m not in away]
+    all_working = all(status.votes and status.writable for status in present)
+    return all_working and len(present) + 1 >= view.roster.majority
 
 
-def _gone(view: CoreView) -> dict[MemberId, MemberId]:
-    """One member that went for good, and the blank one that takes its place, of its own zone
-    if there is one.
+def _failed_member(view: CoreView) -> dict[MemberId, MemberId]:
+    """Returns one permanently failed member, and the blank one that takes its place, of the same
+    zone if there is one.
 
-    None of the others hears it: a member behind a cut is not a lost one. One whose store takes
-    no writes says so itself.
+    A silent member counts as failed only if no other member hears it: a member behind a network cut
+    is not lost. A member whose store takes no writes reports that itself.
     """
-    silent = _silent(view)
-    unwritable = [m for m in _unwritable(view) if m not in silent]
+    silent = _silent_members(view)
+    unwritable = [m for m in _unwritable_members(view) if m not in silent]
     if not _healthy(view, silent + unwritable):
         return {}
     unheard = [
@@ -259,55 +262,58 @@
             if other in view.peer_statuses and other not in silent
         )
     ]
-    blanks = _free(view)
+    candidates = _candidates(view)
     away = unheard + unwritable
-    if not away or not blanks or len(unheard) < len(silent):
+    if not away or not candidates or len(unheard) < len(silent):
         return {}
-    gone = min(
+    failed = min(
         away, key=lambda m: (view.peer_statuses[m].at_ms if m in view.peer_statuses else -1, m)
     )
-    return {gone: _nearest(view, blanks, gone)}
+    return {failed: _nearest_candidate(view, candidates, failed)}
 
 
-def _grown(view: CoreView) -> list[MemberId]:
-    """Blank registries to be taken in so that the core has as many members as it should, an odd
-    number; from the zones that have the fewest."""
-    blanks = _free(view)
+def _members_to_add(view: CoreView) -> list[MemberId]:
+    """Returns the blank registries that join so that the core reaches its configured size, an odd
+    number; taken from the zones that have the fewest members."""
+    candidates = _candidates(view)
     size = len(view.roster.members)
-    room = min(len(blanks), view.members - size)
+    room = min(len(candidates), view.target_size - size)
     room -= (size + room + 1) % 2
-    if room <= 0 or _silent(view) or not _healthy(view, []):
+    if room <= 0 or _silent_members(view) or not _healthy(view, []):
         return []
     count: dict[str, int] = {}
     for member in view.roster.ids:
         zone = view.zones.get(member, "")
         count[zone] = count.get(zone, 0) + 1
-    taken: list[MemberId] = []
+    added: list[MemberId] = []
     for _ in range(room):
-        best = min(blanks, key=lambda n: (count.get(view.zones.get(n, ""), 0), n))
-        blanks.remove(best)
+        best = min(candidates, key=lambda n: (count.get(view.zones.get(n, ""), 0), n))
+        candidates.remove(best)
         zone = view.zones.get(best, "")
         count[zone] = count.get(zone, 0) + 1
-        taken.append(MemberId(best))
-    return taken
+        added.append(MemberId(best))
+    return added
 
 
-def _changed(
-    view: CoreView, instead: Mapping[MemberId, MemberId], more: list[MemberId] | None = None
+def _with_changes(
+    view: CoreView,
+    replacements: Mapping[MemberId, MemberId],
+    added: list[MemberId] | None = None,
 ) -> Roster:
-    """The next epoch. Whoever joins, or joined and is not yet known to vote, copies first."""
+    """Returns the roster of the next epoch. A member that joins, or that joined and is not yet
+    known to vote, copies before it votes."""
     old = view.roster
     members: list[tuple[MemberId, Address]] = []
     for member, address in old.members:
-        newcomer = instead.get(member)
+        newcomer = replacements.get(member)
         members.append(
             (newcomer, view.peer_statuses[newcomer].address) if newcomer else (member, address)
         )
-    members.extend((m, view.peer_statuses[m].address) for m in more or ())
-    joining = [*instead.values(), *(more or ())]
+    members.extend((m, view.peer_statuses[m].address) for m in added or ())
+    joining = [*replacements.values(), *(added or ())]
     ids = {m for m, _ in members}
     for member in old.joining:
-        sign = view.peer_statuses.get(member)
-        if member in ids and member != view.me and not (sign is not None and sign.votes):
+        status = view.peer_statuses.get(member)
+        if member in ids and member != view.me and not (status is not None and status.votes):
             joining.append(member)
     return Roster(Epoch(old.epoch + 1), tuple(members), old.ids, tuple(sorted(joining)))
--- a/spokeroute/register/membership/state.py
+++ b/spokeroute/register/membership/state.py
@@ -1,4 +1,4 @@
-"""What a member knows of the core, and what it tells of a changed roster."""
+"""State of the membership, and the notice of a changed roster."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RosterChanged:
-    """To placement: the ledger should hear of it."""
+    """To placement, ledger and role: the roster changed; the ledger records it."""
 
     roster: Roster
 
@@ -36,17 +36,17 @@
     addresses: Map[str, Address] = field(default_factory=Map)
     zones: Map[str, str] = field(default_factory=Map)
     started_ms: Ms = Ms(0)
-    next_ms: Ms = Ms(0)
-    copied: Map[str, str] = field(default_factory=Map)  # old member -> next page, "." when whole
+    next_heartbeat_ms: Ms = Ms(0)
+    copied: Map[str, str] = field(default_factory=Map)  # source -> next page, "." when complete
     copy_asked_ms: Map[str, Ms] = field(default_factory=Map)
-    proposing: str = ""
-    turn_ms: Ms = Ms(-1)  # when a lost disk is looked at again
-    draws: int = 0
-    changes: tuple[str, ...] = ("placement", "ledger", "role")
+    proposal: str = ""  # operation id of the roster change in progress
+    recheck_ms: Ms = Ms(-1)  # when a lost disk or a leaving member is checked again
+    proposals: int = 0
+    roster_listeners: tuple[str, ...] = ("placement", "ledger", "role")
     bounds: Bounds = Bounds()
     writable: bool = True  # whether this member's store takes writes
     leaving: bool = False  # whether this process was asked to stop
     leaving_ms: Ms = Ms(-1)  # since when
-    leave_status: LeaveStatus = LeaveStatus.NEEDED  # whether this member, which leaves, may end
-    epoch_ms: Ms = Ms(0)  # since when it is at the roster's epoch
-    missing: MissingMembers | None = None  # who is away where too many are, for long
+    leave_status: LeaveStatus = LeaveStatus.NEEDED
+    epoch_ms: Ms = Ms(0)  # since when this member is at the roster's epoch
+    missing: MissingMembers | None = None  # set while a majority has been silent for long
--- a/tests/test_planned_leave.py
+++ b/tests/test_planned_leave.py
@@ -15,7 +15,7 @@
 from spokeroute.register.membership import accepted_copies, handover
 from spokeroute.register.membership.accepted_copies import SuspendAccepts
 from spokeroute.register.membership.policy import (
-    TURN_MS,
+    PROPOSAL_STAGGER_MS,
     PeerStatus,
     leaver_replacement,
     lost_disks,
@@ -283,7 +283,7 @@
     assert (
         leaver_replacement(seen) == {"m2": "b1"} and next_roster(seen) is None
     )  # m2's turn is first
-    new = next_roster(replace(seen, now_ms=Ms(20_000 + TURN_MS)))
+    new = next_roster(replace(seen, now_ms=Ms(20_000 + PROPOSAL_STAGGER_MS)))
     assert new is not None and new.ids == ("m0", "m1", "b1") and new.joining == ("b1",)
 
 
@@ -344,7 +344,7 @@
     for node in (m1, m2):
         stale = From(NodeId(node), Incarnation(1), HeldPart(state.nonce - 1, "", (), ""))
         state, effects = handover.step(state, stale, Ms(1))
-        assert not effects and state.quiet_ms < 0 and not state.done
+        assert not effects and state.suspended_ms < 0 and not state.done
     for node in (m1, m2):
         part = From(NodeId(node), Incarnation(1), HeldPart(state.nonce, "", (), ""))
         state, effects = handover.step(state, part, Ms(2))
--- a/tools/model/patches_membership.py
+++ b/tools/model/patches_membership.py
@@ -41,7 +41,7 @@
     Example:
         copy_from_unmoved()
     """
-    real_step, real_copy = acceptor.step, membership._copy
+    real_step, real_copy = acceptor.step, membership._request_copies
 
     def step(state: Any, event: Any, now_ms: Any) -> tuple[Any, Effects]:
         if isinstance(event, From) and isinstance(event.message, CopyAsk):
@@ -56,7 +56,7 @@
         after, effects = real_copy(replace(state, peer_statuses=Map(moved)), now_ms)
         return replace(after, peer_statuses=state.peer_statuses), effects
 
-    return ((acceptor, "step", step), (membership, "_copy", copy))
+    return ((acceptor, "step", step), (membership, "_request_copies", copy))
 
 
 def copy_from_minority() -> tuple[Patch, ...]:
@@ -65,7 +65,7 @@
     Example:
         copy_from_minority()
     """
-    real = membership._copied
+    real = membership._copy_received
 
     def faulty(state: Any, node: Any, part: CopyPart, now_ms: Any) -> Any:
         after, effects = real(state, node, part, now_ms)
@@ -73,7 +73,7 @@
             return after, effects
         return after, (*effects, Tell("acceptor", Adopt(state.roster, True)))
 
-    return ((membership, "_copied", faulty),)
+    return ((membership, "_copy_received", faulty),)
 
 
 def vote_before_copy() -> tuple[Patch, ...]:
@@ -82,7 +82,7 @@
     Example:
         vote_before_copy()
     """
-    real = membership._news
+    real = membership._roster_received
 
     def faulty(state: Any, node: Any, roster: Roster) -> Any:
         after, effects = real(state, node, roster)
@@ -93,7 +93,7 @@
             for e in effects
         )
 
-    return ((membership, "_news", faulty),)
+    return ((membership, "_roster_received", faulty),)
 
 
 def old_majority() -> tuple[Patch, ...]:
@@ -147,13 +147,13 @@
     Example:
         found_beside_members()
     """
-    real = membership._found
+    real = membership._found_core
 
     def faulty(state: Any, now_ms: Any) -> Any:
         blank = {n: replace(s, blank=True) for n, s in state.peer_statuses.items()}
         return real(replace(state, peer_statuses=Map(blank)), now_ms)
 
-    return ((membership, "_found", faulty),)
+    return ((membership, "_found_core", faulty),)
 
 
 def found_on_old_signs() -> tuple[Patch, ...]:
@@ -162,14 +162,14 @@
     Example:
         found_on_old_signs()
     """
-    real = membership._found
+    real = membership._found_core
 
     def faulty(state: Any, now_ms: Any) -> Any:
         all_of_them = tuple(sorted({state.me, *state.peer_statuses}))
         signs = {n: replace(s, hears=all_of_them) for n, s in state.peer_statuses.items()}
         return real(replace(state, peer_statuses=Map(signs)), now_ms)
 
-    return ((membership, "_found", faulty),)
+    return ((membership, "_found_core", faulty),)
 
 
 def leave_at_once() -> tuple[Patch, ...]:
@@ -183,7 +183,7 @@
         """What was handed over is not asked for: all is said to be there."""
         return replace(state, done=True), ()
 
-    return ((handover, "_compared", faulty),)
+    return ((handover, "_compare", faulty),)
 
 
 def joining_forgotten() -> tuple[Patch, ...]:
@@ -192,12 +192,12 @@
     Example:
         joining_forgotten()
     """
-    real = membership_policy._changed
+    real = membership_policy._with_changes
 
     def faulty(sight: Any, instead: Any, more: Any = None) -> Roster:
         return real(replace(sight, roster=replace(sight.roster, joining=())), instead, more)
 
-    return ((membership_policy, "_changed", faulty),)
+    return ((membership_policy, "_with_changes", faulty),)
 
 
 def epoch_back() -> tuple[Patch, ...]:
@@ -206,7 +206,7 @@
     Example:
         epoch_back()
     """
-    real = membership._news
+    real = membership._roster_received
 
     def faulty(state: Any, node: Any, roster: Roster) -> Any:
         if state.roster and roster.epoch < state.roster.epoch and state.me in roster.ids:
@@ -218,4 +218,4 @@
             return replace(state, roster=None), event
         return state, event
 
-    return ((membership, "_news", faulty), *step_patch(change))
+    return ((membership, "_roster_received", faulty), *step_patch(change))
