--- a/spokeroute/dispatch/configuration/table_reader.py
+++ b/spokeroute/dispatch/configuration/table_reader.py
@@ -26,7 +26,7 @@
 from spokeroute.dispatch.configuration.route_table import HostRoutes, Table
 from spokeroute.dispatch.configuration.tenant_keys import TenantKeys
 from spokeroute.register.packing import unpack
-from spokeroute.register.value_metadata import NUMBER
+from spokeroute.register.value_metadata import NUMBER_FORMAT
 
 LIST_BEGINS, LIST_ENDS = "[\n", "\n]"
 DOCUMENT = f',"document":{LIST_BEGINS}'  # what an adapter was sent: nothing is decided by it
@@ -97,7 +97,7 @@
         Example:
             reader.read(copy.version, copy.digest, value)
         """
-        text = unpack(value, NUMBER.size).decode()
+        text = unpack(value, NUMBER_FORMAT.size).decode()
         decided, found, _ = text.partition(DOCUMENT)
         routes, decided = _cut_list(decided, "routes")
         services, decided = _cut_list(decided, "services")
--- a/spokeroute/dispatch/configuration/value.py
+++ b/spokeroute/dispatch/configuration/value.py
@@ -10,7 +10,7 @@
 
 from spokeroute.dispatch.configuration.models import Configuration
 from spokeroute.register.packing import pack, unpack
-from spokeroute.register.value_metadata import NUMBER, number_of
+from spokeroute.register.value_metadata import NUMBER_FORMAT, number_of
 
 CHUNK_END = re.compile(r"(?<=\},)")
 
@@ -30,7 +30,7 @@
     }
     head = json.dumps({"applyId": apply_id, "number": number}, separators=(",", ":"))
     text = head[:-1] + "".join(f',"{name}":{row}' for name, row in rows.items()) + "}"
-    return NUMBER.pack(number) + pack(text.encode())
+    return NUMBER_FORMAT.pack(number) + pack(text.encode())
 
 
 def _chunks(document: str) -> list[str]:
@@ -66,7 +66,7 @@
 
 def _unpack(value: bytes) -> Any:
     # The orders that are remembered stand behind the packed part.
-    return json.loads(unpack(value, NUMBER.size))
+    return json.loads(unpack(value, NUMBER_FORMAT.size))
 
 
 def unpack_configuration(value: bytes) -> tuple[dict[str, Any], str]:
--- a/spokeroute/register/changes.py
+++ b/spokeroute/register/changes.py
@@ -1,4 +1,4 @@
-"""What actors ask of registers, and what they are told: changes that travel as data."""
+"""Operations on registers and their results; the changes themselves are passed as data."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
 
 class Change(Protocol):
-    """What an operation makes of a register: a pure function that travels as data."""
+    """A change of a register's value: a pure function, passed as data."""
 
     def decide(self, version: int, value: bytes) -> bytes | None:
-        """The next value, or None to leave the register as it is."""
+        """Returns the next value, or None to leave the register unchanged."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class Read:
-    """Change nothing: the value that is chosen.
+    """Reads the chosen value and changes nothing.
 
     Example:
         Read().decide(3, b"x") is None
     """
 
     def decide(self, version: int, value: bytes) -> bytes | None:
-        """Nothing to write.
+        """Returns None: there is nothing to write.
 
         Example:
             Read().decide(0, b"") is None
@@ -37,15 +37,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Renew:
-    """Write what stands under a new ballot, though a majority agrees on it: a member that promised
-    a later read can't take it under the old one.
+    """Writes the current value again with a new ballot, although a majority agrees on it: a member
+    that promised a later read can't accept it with the old ballot.
 
     Example:
         Renew().decide(1, b"old") is None
     """
 
     def decide(self, version: int, value: bytes) -> bytes | None:
-        """Never another value.
+        """Returns None: the value stays the same.
 
         Example:
             Renew().decide(0, b"") is None
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Swap:
-    """Write ``value`` if the register stands at ``expect``.
+    """Writes ``value`` if the register is at version ``expect``.
 
     Example:
         Swap(0, b"x").decide(0, b"") == b"x"
@@ -65,7 +65,7 @@
     value: bytes
 
     def decide(self, version: int, value: bytes) -> bytes | None:
-        """The value when the version is as expected.
+        """Returns the value if the version is as expected.
 
         Example:
             Swap(1, b"x").decide(0, b"") is None
@@ -75,8 +75,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """From an actor: bring this change to a register. Where ``alone_ms`` is given, it is given up
-    after that long if the proposer has contact with no majority of the roster."""
+    """From an actor: apply this change to a register. If ``no_majority_wait_ms`` is set, the
+    operation is abandoned after that time if the proposer can't reach a majority of the roster."""
 
     op_id: str
     register: str
@@ -87,21 +87,21 @@
 
 
 class Outcome(StrEnum):
-    """How an ask ended.
+    """How an operation ended.
 
     Example:
         Outcome("done") is Outcome.DONE
     """
 
     DONE = "done"
-    TIMEOUT = "timeout"  # nothing of ours was written
-    UNSURE = "unsure"
+    TIMEOUT = "timeout"  # nothing of this operation was written
+    UNSURE = "unsure"  # the change may have been written
 
 
 @dataclass(frozen=True, slots=True)
 class Settled:
-    """To the asker: how its ask ended, and what stands.
-    ``age_ms``: the longest that a member says to have had the value; -1 where none can tell."""
+    """To the requesting actor: how its operation ended, and the register's value. ``age_ms`` is the
+    longest time that any member reports to have had the value; -1 if none can tell."""
 
     op_id: str
     register: str
@@ -115,7 +115,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Chosen:
-    """To the copies' owner: this is chosen."""
+    """To the replica: this value was chosen."""
 
     copy: Copy
     value: bytes
@@ -123,6 +123,6 @@
 
 @dataclass(frozen=True, slots=True)
 class RosterIs:
-    """From the membership: the roster that rounds go by."""
+    """From the membership: the roster to use for rounds."""
 
     roster: Roster
--- a/spokeroute/register/configuration_numbers.py
+++ b/spokeroute/register/configuration_numbers.py
@@ -1,7 +1,7 @@
-"""Operators' numbers: one write-once register a number says which content the number means.
+"""Operators' configuration numbers: one write-once register per number binds it to a content.
 
-A number is bound to the digest of a content at a majority before a configuration is written
-under it. Whoever comes with other content finds the number taken, wherever it asks.
+A number is bound to the digest of a content at a majority before a configuration is written with
+it. A request with the same number and other content is refused by every registry.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 MAX_NUMBER = 2**63 - 1
 MAX_KEPT_NUMBERS = 4_096
 NUMBER_KEEP_MS = 60_000
-"""No number is let go this soon after a round was at it: longer than any round lasts."""
+"""A number is not dropped this soon after a round used it: longer than any round lasts."""
 
 
 @dataclass(frozen=True, slots=True)
 class BindNumber:
-    """Bind a number to a content, once for all.
+    """Binds a number to a content permanently.
 
     Example:
         >>> BindNumber("c0ffee").decide(0, b"")
@@ -30,7 +30,7 @@
     content: str
 
     def decide(self, version: int, value: bytes) -> bytes | None:
-        """The content's digest where the number has none yet.
+        """Returns the content's digest if the number has none yet.
 
         Example:
             >>> BindNumber("c0ffee").decide(1, b"facade") is None
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HighestWins:
-    """Write a configuration if its number is above the one that stands.
+    """Writes a configuration if its number is higher than the current one.
 
     Example:
         >>> HighestWins((7).to_bytes(8, "big")).decide(0, b"") is not None
@@ -51,7 +51,7 @@
     value: bytes
 
     def decide(self, version: int, value: bytes) -> bytes | None:
-        """The value where its number is higher.
+        """Returns the value if its number is higher.
 
         Example:
             >>> HighestWins((7).to_bytes(8, "big")).decide(1, (7).to_bytes(8, "big")) is None
@@ -63,10 +63,10 @@
 
 
 def prunable_numbers(
-    names: tuple[str, ...], in_force: int, touched_ms: Mapping[str, Ms], now_ms: Ms
+    names: tuple[str, ...], in_force: int, used_ms: Mapping[str, Ms], now_ms: Ms
 ) -> tuple[str, ...]:
-    """The number registers that a member may let go: neither among the newest, nor at or above
-    the number in force, nor touched by a round of late.
+    """Returns the number registers that a member may drop: those that are not among the newest, are
+    below the number in force, and have not been used by a round recently.
 
     Example:
         >>> prunable_numbers((), 70, {}, Ms(0))
@@ -78,12 +78,12 @@
     return tuple(
         name
         for name in sorted(names)[:-MAX_KEPT_NUMBERS]
-        if name < least_kept and now_ms - touched_ms.get(name, now_ms) > NUMBER_KEEP_MS
+        if name < least_kept and now_ms - used_ms.get(name, now_ms) > NUMBER_KEEP_MS
     )
 
 
 def is_number_register(name: str) -> bool:
-    """Whether a register is a number's.
+    """Returns whether a register belongs to a configuration number.
 
     Example:
         >>> is_number_register("claim/k1")
--- a/spokeroute/register/packing.py
+++ b/spokeroute/register/packing.py
@@ -1,9 +1,9 @@
-"""How the large registers' values are packed: lines of text in one zlib stream, which may have a
-head and a tail around it.
+"""Packs the values of large registers: lines of text in one zlib stream, with an optional head
+before and tail after it.
 
-Placement tables and configurations have one entry a line, so that a patch between two versions
-can name the lines that stayed (``patches.py``). Equal text packs to equal bytes, by which a value
-that was patched together is checked against its digest.
+Placement tables and configurations have one entry per line, so that a patch between two versions
+can refer to the unchanged lines (``patches.py``). Equal text packs to equal bytes, so that a
+patched value can be checked against its digest.
 """
 
 from __future__ import annotations
@@ -12,24 +12,24 @@
 from dataclasses import dataclass
 from functools import lru_cache
 
-PACK_LEVEL = 1  # values are packed at every change, and are read much more often
-OPENED_KEPT = 8
+PACK_LEVEL = 1  # fast: values are packed at every change
+CACHED_VALUES = 8
 
 
 class PackError(ValueError):
-    """Bytes that are no packed value."""
+    """The bytes are not a packed value."""
 
 
 @dataclass(frozen=True, slots=True)
 class UnpackedValue:
-    """A value's text, and the bytes before and behind its packed part."""
+    """A value's text, and the bytes before and after its packed part."""
 
     head: bytes
     text: bytes
     tail: bytes
 
     def packed(self) -> bytes:
-        """The value again.
+        """Returns the packed value.
 
         Example:
             >>> unpack_parts(pack(b"text"), 0).packed() == pack(b"text")
@@ -39,7 +39,7 @@
 
 
 def pack(text: bytes) -> bytes:
-    """A text's packed part.
+    """Returns the packed form of a text.
 
     Example:
         >>> unpack(pack(b"text"))
@@ -49,7 +49,7 @@
 
 
 def unpack(value: bytes, head_bytes: int = 0) -> bytes:
-    """The text of a value whose packed part begins behind its head.
+    """Returns the text of a value whose packed part starts after a head of ``head_bytes``.
 
     Example:
         >>> unpack(b"head" + pack(b"text"), 4)
@@ -58,9 +58,9 @@
     return unpack_parts(value, head_bytes).text
 
 
-@lru_cache(maxsize=OPENED_KEPT)
+@lru_cache(maxsize=CACHED_VALUES)
 def unpack_parts(value: bytes, head_bytes: int) -> UnpackedValue:
-    """A value in its parts.
+    """Splits a value into its head, text and tail.
 
     Example:
         >>> unpack_parts(b"head" + pack(b"text") + b"tail", 4).tail
@@ -70,7 +70,7 @@
     try:
         text = stream.decompress(value[head_bytes:])
     except zlib.error as fault:
-        raise PackError(f"a value that can't be unpacked: {fault}") from fault
+        raise PackError(f"can't unpack value: {fault}") from fault
     if not stream.eof:
-        raise PackError("a value that ends before its packed part does")
+        raise PackError("can't unpack value: the packed part is truncated")
     return UnpackedValue(value[:head_bytes], text, stream.unused_data)
--- a/tests/test_numbers.py
+++ b/tests/test_numbers.py
@@ -34,7 +34,7 @@
     is_number_register,
 )
 from spokeroute.register.replica.replica import FreshCopies
-from spokeroute.register.value_metadata import NUMBER
+from spokeroute.register.value_metadata import NUMBER_FORMAT
 from spokeroute.registry import operator
 from spokeroute.registry.operator import Apply
 from spokeroute.transport.messages import Prepare
@@ -81,7 +81,7 @@
 
 
 def order(content: str, number: int = 70) -> Apply:
-    return Apply(SlotId(1, 1), NUMBER.pack(number) + content.encode(), -1, content, number)
+    return Apply(SlotId(1, 1), NUMBER_FORMAT.pack(number) + content.encode(), -1, content, number)
 
 
 def settle(
@@ -111,7 +111,7 @@
     state, effects = settle(state, asked(effects), b"a", outcome=outcome)
     read = asked(effects)
     assert (read.register, read.change) == (CONFIGURATION, Read())
-    state, effects = settle(state, read, NUMBER.pack(60), 3)
+    state, effects = settle(state, read, NUMBER_FORMAT.pack(60), 3)
     (reply,) = (e for e in effects if isinstance(e, Reply))
     assert reply.answer.status == 409
     assert b'"number": 70' in reply.answer.body and b"has not come in force" in reply.answer.body
@@ -128,10 +128,10 @@
 def test_an_order_that_was_overtaken_after_its_offer_is_acknowledged() -> None:
     state, effects = operator.step(operator.State("m1"), order("a"), Ms(0))
     state, effects = settle(state, asked(effects), b"a")
-    state, effects = settle(state, asked(effects), NUMBER.pack(80), 9, Outcome.UNSURE)
+    state, effects = settle(state, asked(effects), NUMBER_FORMAT.pack(80), 9, Outcome.UNSURE)
     again = asked(effects)
     assert again.register == CONFIGURATION
-    state, effects = settle(state, again, NUMBER.pack(80), 9)
+    state, effects = settle(state, again, NUMBER_FORMAT.pack(80), 9)
     assert [e.answer.status for e in effects if isinstance(e, Reply)] == [200]
 
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -25,8 +25,8 @@
 from spokeroute.http.wsgi import respond, serve
 from spokeroute.register.configuration_numbers import MAX_NUMBER
 from spokeroute.register.value_metadata import (
-    NUMBER,
-    ORDERS_KEPT,
+    MAX_KEPT_ORDERS,
+    NUMBER_FORMAT,
     AppliedOrder,
     ApplyOnce,
     applied_orders,
@@ -89,19 +89,21 @@
 
 def test_the_newest_orders_are_remembered() -> None:
     value = b""
-    for version in range(ORDERS_KEPT + 6):
-        value = ApplyOnce(version, f"a{version}", "c", NUMBER.pack(0) + b"body").decide(
+    for version in range(MAX_KEPT_ORDERS + 6):
+        value = ApplyOnce(version, f"a{version}", "c", NUMBER_FORMAT.pack(0) + b"body").decide(
             version, value
         ) or pytest.fail("not written")
     made = applied_orders(value)
-    assert [m.version for m in made] == list(range(7, ORDERS_KEPT + 7))
+    assert [m.version for m in made] == list(range(7, MAX_KEPT_ORDERS + 7))
     assert len(value) < 3_000
-    assert ApplyOnce(70, "a69", "c", NUMBER.pack(0)).decide(70, value) is None
+    assert ApplyOnce(70, "a69", "c", NUMBER_FORMAT.pack(0)).decide(70, value) is None
 
 
 def test_an_unnumbered_apply_leaves_the_number(sim: Sim) -> None:
     """An old order under a lower number, sent again after it, alters nothing."""
-    assert number_of(with_metadata(NUMBER.pack(0) + b"x", NUMBER.pack(70) + b"y")) == 70
+    assert (
+        number_of(with_metadata(NUMBER_FORMAT.pack(0) + b"x", NUMBER_FORMAT.pack(70) + b"y")) == 70
+    )
     ready(sim)
     assert sent(sim, "sixty", 60).status == 200
     assert sent(sim, "seventy", 70).status == 200
--- a/tests/test_patches.py
+++ b/tests/test_patches.py
@@ -33,7 +33,7 @@
 from spokeroute.register.cells import digest_of
 from spokeroute.register.packing import pack
 from spokeroute.register.patches import apply_patch, make_patch, runs_of
-from spokeroute.register.value_metadata import NUMBER, AppliedOrder, number_of, with_metadata
+from spokeroute.register.value_metadata import NUMBER_FORMAT, AppliedOrder, number_of, with_metadata
 from spokeroute.transport.messages import Copy, ValuePatch
 from tests.sim.storms import wide
 
@@ -122,7 +122,7 @@
     few = pack_floor(Floor(Term(3), 2, (placed(900),)))
     assert make_patch("d", base, copy_of(FLOOR, few), few) is None
     assert make_patch("d", b"{}", copy_of("roster", b"[]"), b"[]") is None
-    otherwise = NUMBER.pack(3) + configured(3, 4_000)[NUMBER.size :] + b"tail"
+    otherwise = NUMBER_FORMAT.pack(3) + configured(3, 4_000)[NUMBER_FORMAT.size :] + b"tail"
     assert apply_patch(patched(CONFIGURATION, configured(2, 4_000), otherwise),
                        configured(2, 4_000)) == otherwise  # fmt: skip
 
--- a/tests/test_proofs.py
+++ b/tests/test_proofs.py
@@ -21,7 +21,7 @@
 from spokeroute.register.cells import Roster, digest_of
 from spokeroute.register.replica import replica
 from spokeroute.register.replica.replica import CompileResult, State
-from spokeroute.register.value_metadata import NUMBER, with_metadata
+from spokeroute.register.value_metadata import NUMBER_FORMAT, with_metadata
 from spokeroute.transport.messages import Copy, FetchGot, Finish, Probe, ProbeAck
 from tests.named_tables import LIFE, NOTHING, copy_of, table
 
@@ -138,7 +138,7 @@
 
 
 def document(version: int) -> bytes:
-    return with_metadata(NUMBER.pack(0), NUMBER.pack(version))
+    return with_metadata(NUMBER_FORMAT.pack(0), NUMBER_FORMAT.pack(version))
 
 
 def configuration(version: int) -> Copy:
--- a/tests/test_table_reader.py
+++ b/tests/test_table_reader.py
@@ -19,7 +19,7 @@
 )
 from spokeroute.dispatch.configuration.models import Route, Service
 from spokeroute.register.packing import pack
-from spokeroute.register.value_metadata import NUMBER, AppliedOrder, with_metadata
+from spokeroute.register.value_metadata import NUMBER_FORMAT, AppliedOrder, with_metadata
 
 NAMES = [f"s{number}" for number in range(6)]
 HOSTS = ("", "a.example", "b.example")
@@ -109,7 +109,7 @@
     read = read_configuration(json.dumps(doc).encode(), ())
     assert isinstance(read, Configuration)
     kept = {"applyId": "a", "number": 1, "configuration": read.to_dict(), "document": "{}"}
-    value = NUMBER.pack(1) + pack(json.dumps(kept, separators=(",", ":")).encode())
+    value = NUMBER_FORMAT.pack(1) + pack(json.dumps(kept, separators=(",", ":")).encode())
     reader = TableReader()
     old = reader.read(Version(1), "", value)
     assert reader.rows_read == 6
