--- a/spokeroute/register/anti_entropy/__init__.py
+++ b/spokeroute/register/anti_entropy/__init__.py
@@ -1,1 +1,1 @@
-"""Anti-entropy: members compare what they have, and take what they lack."""
+"""Anti-entropy: members compare their registers, and fetch what they lack from each other."""
--- a/spokeroute/register/anti_entropy/cell_index.py
+++ b/spokeroute/register/anti_entropy/cell_index.py
@@ -1,7 +1,7 @@
-"""What anti-entropy compares: the registers by bucket, and a digest of each bucket.
+"""Index for the comparison between members: the registers by bucket, and a digest per bucket.
 
-A digest is the exclusive or of a hash of each register's name and accepted ballot, so a change
-of one register costs one hash, however many registers there are.
+A digest is the exclusive or of a hash of each register's name and accepted ballot, so updating it
+for a changed register costs two hashes at most, however many registers there are.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CellsSynced:
-    """To anti-entropy: what is on disk now, and which registers changed there or were dropped."""
+    """To anti-entropy: the cells on disk, and the names that changed there or were dropped."""
 
     names: tuple[str, ...]
     cells: Map[str, Cell]
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CellsReloaded:
-    """To anti-entropy: the store was opened anew, and holds this; something may be missing."""
+    """To anti-entropy: the store was reopened and has these cells; some may be missing."""
 
     cells: Map[str, Cell]
     roster: Roster | None
@@ -42,7 +42,7 @@
 
 
 def bucket_of(name: str) -> int:
-    """The bucket that a register belongs to.
+    """Returns the bucket of a register.
 
     Example:
         >>> 0 <= bucket_of("floor") < BUCKETS
@@ -58,13 +58,13 @@
 
 @dataclass(frozen=True, slots=True)
 class CellIndex:
-    """The accepted ballot of each register, by bucket, and the buckets' digests."""
+    """The accepted ballot of each register by bucket, and the digest of each bucket."""
 
     buckets: Map[int, Map[str, Ballot]] = field(default_factory=Map)
     digests: Map[int, int] = field(default_factory=Map)
 
     def packed(self) -> bytes:
-        """All digests, as they are sent.
+        """Returns all digests in the form in which they are sent.
 
         Example:
             >>> len(CellIndex().packed())
@@ -73,7 +73,7 @@
         return _PACKED.pack(*(self.digests.get(bucket, 0) for bucket in range(BUCKETS)))
 
     def differs(self, packed: bytes) -> tuple[int, ...]:
-        """The buckets whose digest is another than the one sent; all, where it can't be read.
+        """Returns the buckets whose digests differ from those received; all if unreadable.
 
         Example:
             >>> CellIndex().differs(CellIndex().packed())
@@ -84,27 +84,27 @@
         theirs = _PACKED.unpack(packed)
         return tuple(b for b in range(BUCKETS) if self.digests.get(b, 0) != theirs[b])
 
-    def held(self, bucket: int) -> Map[str, Ballot]:
-        """The accepted ballots of one bucket's registers.
+    def ballots(self, bucket: int) -> Map[str, Ballot]:
+        """Returns the accepted ballots of the registers in one bucket.
 
         Example:
-            >>> len(CellIndex().held(0))
+            >>> len(CellIndex().ballots(0))
             0
         """
         return self.buckets.get(bucket, Map())
 
-    def changed(self, names: tuple[str, ...], cells: Map[str, Cell]) -> CellIndex:
-        """The index after these registers changed, or were dropped from ``cells``.
+    def with_changes(self, names: tuple[str, ...], cells: Map[str, Cell]) -> CellIndex:
+        """Returns the index after these registers changed in ``cells`` or were dropped from it.
 
         Example:
-            >>> CellIndex().changed(("floor",), Map()) == CellIndex()
+            >>> CellIndex().with_changes(("floor",), Map()) == CellIndex()
             True
         """
         buckets, digests = self.buckets, self.digests
         for name in names:
             bucket = bucket_of(name)
-            held = buckets.get(bucket, Map())
-            old, new = held.get(name, NO_BALLOT), cells.get(name, EMPTY).accepted
+            ballots = buckets.get(bucket, Map())
+            old, new = ballots.get(name, NO_BALLOT), cells.get(name, EMPTY).accepted
             if old == new:
                 continue
             digest = digests.get(bucket, 0)
@@ -112,19 +112,19 @@
                 digest ^= _hash(name, old)
             if new != NO_BALLOT:
                 digest ^= _hash(name, new)
-            held = held.delete(name) if new == NO_BALLOT else held.set(name, new)
-            if held:
-                buckets, digests = buckets.set(bucket, held), digests.set(bucket, digest)
+            ballots = ballots.delete(name) if new == NO_BALLOT else ballots.set(name, new)
+            if ballots:
+                buckets, digests = buckets.set(bucket, ballots), digests.set(bucket, digest)
             else:
                 buckets, digests = buckets.delete(bucket), digests.delete(bucket)
         return replace(self, buckets=buckets, digests=digests)
 
 
 def index_of(cells: Map[str, Cell]) -> CellIndex:
-    """The index of all cells.
+    """Returns the index of all cells.
 
     Example:
         >>> index_of(Map()) == CellIndex()
         True
     """
-    return CellIndex().changed(tuple(cells), cells)
+    return CellIndex().with_changes(tuple(cells), cells)
--- a/spokeroute/register/anti_entropy/state.py
+++ b/spokeroute/register/anti_entropy/state.py
@@ -1,4 +1,4 @@
-"""The state of anti-entropy: what is on disk, who is heard, and what is being taken from whom."""
+"""State of anti-entropy: what is on disk, which members are heard, and the current transfer."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class LastHeartbeat:
     """A member's last heartbeat."""
 
     at_ms: Ms
@@ -25,8 +25,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
-    """The beginning of a value that does not fit a page."""
+class PartialValue:
+    """The received beginning of a value that does not fit a page."""
 
     copy: Copy
     data: bytes
@@ -34,23 +34,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Transfer:
-    """What is being taken from one member; at most one page is on its way."""
+    """A transfer from one member; at most one page is in flight."""
 
     source: NodeId
     asked_ms: Ms
-    buckets: tuple[int, ...] | None = None  # those that still differ; None before it is known
-    waits: bool = True  # for an answer
-    tries: int = 1
+    buckets: tuple[int, ...] | None = None  # that still differ; None until the answer arrives
+    awaiting_answer: bool = True
+    attempts: int = 1
     rest_until_ms: Ms = Ms(0)
-    handed: Map[int, Map[str, Ballot]] = field(default_factory=Map)  # by bucket; taken or not
+    received: Map[int, Map[str, Ballot]] = field(default_factory=Map)  # by bucket; stored or not
     unsynced: Map[str, Ballot] = field(default_factory=Map)
-    refused: Map[str, Ballot] = field(default_factory=Map)  # below a promise that was given here
-    cells: int = 0
+    refused: Map[str, Ballot] = field(default_factory=Map)  # below a promise of this member
+    stored: int = 0  # registers
 
 
 @dataclass(frozen=True, slots=True)
 class State:
-    """What this member has on disk, whom it hears, and whom it still has to ask."""
+    """What this member has on disk, which members it hears, and which it still has to ask."""
 
     me: MemberId
     roster: Roster | None
@@ -58,17 +58,17 @@
     cells: Map[str, Cell] = field(default_factory=Map)
     born: Map[str, Ms] = field(default_factory=Map)
     index: CellIndex = CellIndex()
-    heard: Map[str, Heard] = field(default_factory=Map)
-    due: Map[NodeId, Ms] = field(default_factory=Map)  # whom to ask, and not before when
+    heartbeats: Map[str, LastHeartbeat] = field(default_factory=Map)
+    due: Map[NodeId, Ms] = field(default_factory=Map)  # members to ask, and the earliest time
     transfer: Transfer | None = None
-    part: Part | None = None  # outlives its transfer
+    partial: PartialValue | None = None  # kept beyond its transfer
     number: int = 0
     page_bytes: int = FIRST_PAGE_BYTES
-    idle_ms: Ms = Ms(-1)
+    next_routine_ms: Ms = Ms(-1)  # when the next comparison without a cause is due
 
     @property
     def epoch(self) -> int:
-        """The epoch on disk; 0 without a roster.
+        """The epoch of the roster on disk; 0 without a roster.
 
         Example:
             State(MemberId("m1"), None, False).epoch == 0
@@ -77,7 +77,7 @@
 
 
 def start(me: MemberId, roster: Roster | None, votes: bool, cells: Map[str, Cell]) -> State:
-    """The state as the disk has it: every other member is to be asked.
+    """Returns the state for what is on disk; every other member is due to be asked.
 
     Example:
         start(MemberId("m1"), None, False, Map()).due == Map()
@@ -87,7 +87,7 @@
 
 
 def others_of(state: State) -> tuple[NodeId, ...]:
-    """The members but this one.
+    """Returns the members other than this one.
 
     Example:
         others_of(State(MemberId("m1"), None, False)) == ()
@@ -96,7 +96,7 @@
 
 
 def all_due(state: State) -> Map[NodeId, Ms]:
-    """Every other member is to be asked, at once.
+    """Returns every other member as due to be asked at once.
 
     Example:
         all_due(State(MemberId("m1"), None, False)) == Map()
--- a/tests/test_catch_up.py
+++ b/tests/test_catch_up.py
@@ -129,7 +129,7 @@
 def begun(node: Node) -> bool:
     """Whether a member took a first page, and there is more to take."""
     transfer = node.state("anti_entropy").transfer
-    return transfer is not None and bool(transfer.cells) and bool(transfer.buckets)
+    return transfer is not None and bool(transfer.stored) and bool(transfer.buckets)
 
 
 @pytest.mark.parametrize("how", ["frames", "source", "asker"])
