--- a/spokeroute/dispatch/placement/listing.py
+++ b/spokeroute/dispatch/placement/listing.py
@@ -1,7 +1,7 @@
-"""What the platform's listing shows of the floor's instances, and what in it is nobody's.
+"""Compares the platform's listing with the placement table: missing, ended and orphan instances.
 
-A listing is late, and has an instance only once it has started. So what it lacks counts only
-for an instance that it had before, or that is up for longer than a listing may be late.
+A listing lags behind, and contains an instance only once it has started. Absence therefore counts
+only for an instance that was listed before, or that has been up for longer than the listing lag.
 """
 
 from __future__ import annotations
@@ -13,29 +13,29 @@
 
 from spokeroute.common.bounds import Bounds
 from spokeroute.common.ids import Ms
-from spokeroute.dispatch.placement.plan import LISTED_ENDED, LOST_AFTER_LISTINGS, going
+from spokeroute.dispatch.placement.plan import LISTED_ENDED, LOST_AFTER_LISTINGS, is_leaving
+from spokeroute.dispatch.placement.planning_pass import identity_of
 from spokeroute.dispatch.placement.platform import PlatformCall, PlatformListed
-from spokeroute.dispatch.placement.table import DRAINING, STARTING, UP, Floor, Placed
-from spokeroute.dispatch.placement.workbook import identity_of
+from spokeroute.dispatch.placement.table import DRAINING, STARTING, UP, Placed, PlacementTable
 
 ORPHAN_MS = 10_000
-RATE_SHARE = 0.8  # of the platform's rate: pages grow in number, and members are replaced
-LATE_LAGS = 2  # a listing this many times later than the platform promises is not reckoned with
+RATE_SHARE = 0.8  # headroom below the platform's rate: listings grow, members are replaced
+LATE_LAGS = 2  # tolerated listing delay, in multiples of the lag that the platform states
 LATE_PLUS_MS = 200
 
 
 @dataclass(frozen=True, slots=True)
-class Sighting:
-    """What the listings said of one instance on the floor."""
+class ListingPresence:
+    """Whether recent listings contained one instance of the placement table."""
 
-    since_ms: int  # since when it is looked for
-    listed: bool = False  # some listing had it
-    missing: int = 0  # newer listings in a row that lack it
+    since_ms: int  # when it was first looked for
+    listed: bool = False  # a listing contained it
+    missing: int = 0  # consecutive newer listings without it
 
 
 def list_pause_ms(bounds: Bounds, calls: int, readers: int) -> int:
-    """How long a reader waits from one listing to the next, so that all of them together keep to
-    the rate that the platform takes.
+    """The pause between two listings of one reader, so that all readers together stay below the
+    platform's rate limit.
 
     Example:
         >>> list_pause_ms(Bounds(list_ms=400, list_calls_per_s=25.0), 4, 5)
@@ -47,74 +47,80 @@
     return max(bounds.list_ms, int(pause_ms))
 
 
-def sightings_of(
-    floor: Floor, listing: PlatformListed, old: Map[str, Sighting], lag_ms: int, now_ms: int
-) -> Map[str, Sighting]:
-    """Take a newer listing in. What starts, and what never was listed and drains, is not
-    looked for: it may be booting yet.
+def update_presence(
+    placements: PlacementTable,
+    listing: PlatformListed,
+    old: Map[str, ListingPresence],
+    lag_ms: int,
+    now_ms: int,
+) -> Map[str, ListingPresence]:
+    """Update each instance's presence from a newer listing.
+
+    An instance that is starting, or that drains and was never listed, is not counted as missing:
+    it may still be booting.
 
     Example:
-        len(sightings_of(NO_FLOOR, listing, Map(), 500, 0)) == 0
+        len(update_presence(EMPTY_PLACEMENT_TABLE, listing, Map(), 500, 0)) == 0
     """
     there = {p.identity for p in listing.listed}
-    out: dict[str, Sighting] = {}
-    for placed in floor.instances:
+    out: dict[str, ListingPresence] = {}
+    for placed in placements.instances:
         before = old.get(placed.id)
         if identity_of(placed) in there:
-            out[placed.id] = Sighting(before.since_ms if before else now_ms, True)
+            out[placed.id] = ListingPresence(before.since_ms if before else now_ms, True)
         elif placed.state != STARTING:
-            seen = before or Sighting(now_ms)
+            seen = before or ListingPresence(now_ms)
             late_ms = LATE_LAGS * lag_ms + LATE_PLUS_MS
             due = placed.state == UP and now_ms - seen.since_ms >= late_ms
             more = 1 if seen.listed or due else 0
-            out[placed.id] = Sighting(seen.since_ms, seen.listed, seen.missing + more)
+            out[placed.id] = ListingPresence(seen.since_ms, seen.listed, seen.missing + more)
     return Map(out)
 
 
 def absent_from(
-    floor: Floor, listing: PlatformListed, sightings: Mapping[str, Sighting]
+    placements: PlacementTable, listing: PlatformListed, presence: Mapping[str, ListingPresence]
 ) -> tuple[str, ...]:
-    """Instances that the floor has up or draining, and the newest listing has not, or shows as
-    ended or going. Every registry says so with its proofs, whoever holds the role.
+    """Instances that the table has up or draining, and the newest listing lacks or shows as
+    ended or draining. Every core node reports them with its proofs, whoever holds the role.
 
     Example:
-        absent_from(NO_FLOOR, listing, {}) == ()
+        absent_from(EMPTY_PLACEMENT_TABLE, listing, {}) == ()
     """
     listed = {p.identity: p for p in listing.listed}
-    seats = {s.id: s for s in listing.seats}
+    workers = {s.id: s for s in listing.workers}
     out: list[str] = []
-    for placed in floor.instances:
+    for placed in placements.instances:
         if placed.state == STARTING and not placed.holder:
             continue
         if placed.state not in (STARTING, UP, DRAINING):
             continue
         there = listed.get(identity_of(placed))
-        sight = sightings.get(placed.id)
+        sight = presence.get(placed.id)
         lost = sight is not None and sight.missing >= LOST_AFTER_LISTINGS
         ended = there is not None and there.state in LISTED_ENDED
-        if lost or ended or going(placed, there, seats.get(placed.worker)):
+        if lost or ended or is_leaving(placed, there, workers.get(placed.worker)):
             out.append(placed.id)
     return tuple(out)
 
 
 def orphan_stops(
-    floor: Floor,
+    placements: PlacementTable,
     listing: PlatformListed,
     orphan_ms: Map[str, int],
     lease_until_ms: Ms,
     now_ms: Ms,
 ) -> tuple[list[PlatformCall], Map[str, int]]:
-    """Stops for instances that are listed but on no floor, such as one whose start was late.
+    """Stops for orphans: listed instances that no table contains, such as one of a late start.
 
-    A floor has an instance before its start is asked for, so what it lacks for this long is
-    nobody's; unless a start of that service on that worker was never answered: then it may be
-    the one that came of it, under a name that the floor doesn't know yet.
+    A table contains an instance before its start is requested, so an instance that is missing
+    there for ORPHAN_MS is an orphan. The exception: a start of that service on that worker was
+    never answered, so that the instance may be its result under an id not known yet.
 
     Example:
-        orphan_stops(NO_FLOOR, listing, Map(), 1000, 0)[0] == []
+        orphan_stops(EMPTY_PLACEMENT_TABLE, listing, Map(), 1000, 0)[0] == []
     """
-    there = {identity_of(p) for p in floor.instances}
-    open_starts = {(p.service, p.worker) for p in floor.instances if _unanswered(p)}
+    there = {identity_of(p) for p in placements.instances}
+    open_starts = {(p.service, p.worker) for p in placements.instances if _unanswered(p)}
     since: dict[str, int] = {}
     calls: list[PlatformCall] = []
     for listed in listing.listed:
@@ -136,7 +142,7 @@
                     0,
                     lease_until_ms,
                     name,
-                    floor.term,
+                    placements.term,
                 )
             )
     return calls, Map(since)
