--- a/spokeroute/register/packing.py
+++ b/spokeroute/register/packing.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from functools import lru_cache
 
-PACK_LEVEL = 1  # fast: values are packed at every change
+PACK_LEVEL = 1  # values are packed at every change, and read much more often
 CACHED_VALUES = 8
 
 
--- a/spokeroute/register/replica/probes.py
+++ b/spokeroute/register/replica/probes.py
@@ -31,7 +31,7 @@
     if roster is None:
         return state.registries
     if now_ms - state.proved_ms > STALE_ROSTER_MS:
-        # All known members may be gone: any registry can tell the newest roster.
+        # All known members may be gone: any registry can send the newest roster.
         return tuple(dict.fromkeys((*roster.ids, *state.registries)))
     late = now_ms - state.proved_ms >= LATE_PROOF_MS
     if late or state.disagreements or now_ms - state.last_full_probe_ms >= FULL_PROBE_INTERVAL_MS:
--- a/spokeroute/register/replica/proof.py
+++ b/spokeroute/register/replica/proof.py
@@ -23,7 +23,7 @@
 
 LEASE_MS = 2_000
 MAX_PENDING_PROOFS = 16
-MAX_OLDER_COPIES = 3  # per register; one for compiled values, whose tables are large
+MAX_OLDER_COPIES = 3  # per register; one for compiled values
 
 
 def with_roster(state: State, roster: Roster) -> State:
