--- a/spokeroute/exchange/connect.py
+++ b/spokeroute/exchange/connect.py
@@ -1,4 +1,4 @@
-"""The edge that looks whether a starting instance can be reached: a plain connect, no call."""
+"""Checks whether a starting instance accepts connections: a plain TCP connect, no call."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 from spokeroute.common.ids import Address, InstanceId
 from spokeroute.transport.net import parse_address
 
-THREADS = 4
+MAX_THREADS = 4
 
 
 @dataclass(frozen=True, slots=True)
-class Connect:
-    """A job: connect to an instance's address, and close again."""
+class ConnectJob:
+    """A job: connect to an instance's address, then close."""
 
     instance: InstanceId
     address: Address
-    wait_ms: int
+    timeout_ms: int
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectDone:
-    """What came of it: reached, refused (nothing listens there), or neither in time."""
+    """The result: reached, refused (nothing listens there), or neither within the timeout."""
 
     instance: InstanceId
     address: Address
@@ -32,14 +32,14 @@
     refused: bool = False
 
 
-def connect(job: Connect) -> ConnectDone:
-    """Connect once; blocks for no longer than the job says.
+def connect(job: ConnectJob) -> ConnectDone:
+    """Connect once; blocks for at most the job's timeout.
 
     Example:
-        connect(Connect(InstanceId("a"), Address("127.0.0.1:1"), 100)).reached is False
+        connect(ConnectJob(InstanceId("a"), Address("127.0.0.1:1"), 100)).reached is False
     """
     try:
-        with socket.create_connection(parse_address(job.address), job.wait_ms / 1000):
+        with socket.create_connection(parse_address(job.address), job.timeout_ms / 1000):
             return ConnectDone(job.instance, job.address, True)
     except ConnectionRefusedError:
         return ConnectDone(job.instance, job.address, False, refused=True)
@@ -48,7 +48,7 @@
 
 
 class Connector:
-    """Carries out Connect jobs on a few threads; reports ConnectDone.
+    """Carries out ConnectJob jobs on a few threads; reports ConnectDone.
 
     Example:
         Connector(report).launch(job)
@@ -56,15 +56,15 @@
 
     def __init__(self, report: Callable[[ConnectDone], None]) -> None:
         self.report = report
-        self.threads = ThreadPoolExecutor(THREADS, thread_name_prefix="connect")
+        self.threads = ThreadPoolExecutor(MAX_THREADS, thread_name_prefix="connect")
 
-    def launch(self, job: Connect) -> None:
-        """Begin one.
+    def launch(self, job: ConnectJob) -> None:
+        """Start a job.
 
         Example:
             Connector(report).launch(job)
         """
         self.threads.submit(self._run, job)
 
-    def _run(self, job: Connect) -> None:
+    def _run(self, job: ConnectJob) -> None:
         self.report(connect(job))
--- a/spokeroute/http/connections.py
+++ b/spokeroute/http/connections.py
@@ -1,6 +1,6 @@
-"""waitress's channels on the loop's own selector, without a thread of their own.
+"""Callers' connections: waitress channels on the event loop's selector, without their own threads.
 
-waitress reads requests and keeps what waits to be written.
+waitress parses the requests and buffers the output.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 
 READ, WRITE = selectors.EVENT_READ, selectors.EVENT_WRITE
 READ_BYTES = 64 * 1024
-LINGER_S = 1.0
-LINGER_BYTES = 4 * 1024 * 1024
+LINGER_TIMEOUT_S = 1.0
+MAX_LINGER_BYTES = 4 * 1024 * 1024
 
 
-class Watched(dict[int, Any]):
-    """waitress's map of sockets, kept in step with a selector.
+class SelectorMap(dict[int, Any]):
+    """waitress's socket map, kept in sync with a selector.
 
     Example:
-        Watched(selectors.DefaultSelector())
+        SelectorMap(selectors.DefaultSelector())
     """
 
     def __init__(self, selector: selectors.BaseSelector) -> None:
@@ -43,11 +43,11 @@
         with contextlib.suppress(KeyError):
             self.selector.unregister(fd)
 
-    def want(self, fd: int, each: Any, old: int, new: int) -> int:
-        """Wait for other events on a socket.
+    def update_events(self, fd: int, each: Any, old: int, new: int) -> int:
+        """Change the events that a socket is registered for; return the new events.
 
         Example:
-            watched = self.want(fd, channel, READ, READ | WRITE)
+            watched_events = self.update_events(fd, channel, READ, READ | WRITE)
         """
         if old == new:
             return new
@@ -61,37 +61,37 @@
 
 
 class Connection(HTTPChannel):  # type: ignore[misc]
-    """One caller's connection."""
+    """A caller's connection."""
 
     parser_class = Parser
     requests: list[Any]
-    watched = READ
+    watched_events = READ
     served = 0
     admitted = 0
-    """Requests that were read before intake ended, in whole or in part."""
-    open = False
-    """Whether the first request was handed on and has no answer yet."""
-    partial: Any = None
-    partial_s = 0.0
+    """How many requests had been read, in whole or in part, when intake ended."""
+    awaiting_answer = False
+    """Whether the first request was dispatched and has no answer yet."""
+    partial_request: Any = None
+    partial_since_s = 0.0
     lingers = True
     linger_until_s = 0.0
     lingered_bytes = 0
 
     @property
     def last_activity(self) -> float:
-        """When something last went over it, by the monotonic clock.
+        """When it last sent or received data, by the monotonic clock.
 
         Example:
             connection.last_activity <= time.monotonic()
         """
-        return self._active_s
+        return self._last_activity_s
 
     @last_activity.setter
     def last_activity(self, wall_s: float) -> None:
-        self._active_s = time.monotonic()
+        self._last_activity_s = time.monotonic()
 
     def handle(self, mask: int) -> None:
-        """Read and write what can be.
+        """Handle read and write events.
 
         Example:
             connection.handle(selectors.EVENT_READ)
@@ -103,11 +103,11 @@
                 self._flush_exception(self._flush_some)
             self.update()
         except Exception as fault:
-            logging.error("a caller's connection failed: %s", fault, exc_info=fault)
+            logging.error("caller connection failed: %s", fault, exc_info=fault)
             self.handle_close()
 
     def handle_read(self) -> None:
-        """Read once.
+        """Read available data once.
 
         Example:
             connection.handle_read()
@@ -126,24 +126,24 @@
             return
         if self.linger_until_s:
             self.lingered_bytes += len(data)
-            if self.lingered_bytes > LINGER_BYTES:
+            if self.lingered_bytes > MAX_LINGER_BYTES:
                 self.handle_close()
             return
-        self._active_s = time.monotonic()
+        self._last_activity_s = time.monotonic()
         self.adj = self.server.adj
         self.received(data)
-        if self.request is not self.partial:
-            self.partial, self.partial_s = self.request, self._active_s
+        if self.request is not self.partial_request:
+            self.partial_request, self.partial_since_s = self.request, self._last_activity_s
 
     def answer(self, data: bytes, close: bool, lingers: bool = True) -> None:
-        """Write the answer to the first request; ``close`` ends the connection after it, with a
-        while of reading on if it ``lingers``.
+        """Write the answer to the first request. ``close`` closes the connection after it, with a
+        lingering close if ``lingers``.
 
         Example:
             connection.answer(b"HTTP/1.1 204 No Content\\r\\n\\r\\n", close=False)
         """
         self.lingers = lingers
-        self.open = False
+        self.awaiting_answer = False
         if self.socket is None or not self.requests:
             return
         self.requests.pop(0).close()
@@ -158,9 +158,9 @@
         elif self.requests:
             self.server.add_task(self)
         elif self.request is not None:
-            self.partial_s = self._active_s  # the part that was read has its whole time yet
-            waits = self.request.expect_continue and self.request.headers_finished
-            if waits and not self.sent_continue:
+            self.partial_since_s = self._last_activity_s  # the partial request's timeout starts now
+            needs_continue = self.request.expect_continue and self.request.headers_finished
+            if needs_continue and not self.sent_continue:
                 self.send_continue()
         self.update()
 
@@ -180,7 +180,7 @@
                 self.write_soon(data[sent:])
 
     def update(self) -> None:
-        """Close what is to be closed, and wait for the events that matter now.
+        """Close if due, and register for the events that are needed now.
 
         Example:
             connection.update()
@@ -199,11 +199,11 @@
             return
         new = READ if self.linger_until_s or self.readable() else 0
         new |= WRITE if self.total_outbufs_len else 0
-        self.watched = self._map.want(self._fileno, self, self.watched, new)
+        self.watched_events = self._map.update_events(self._fileno, self, self.watched_events, new)
 
     def linger(self) -> None:
-        """Say that nothing more comes, and read on for a while: a close with unread bytes would
-        reset the connection under the answer.
+        """Shut down the write side and keep reading for a while: a close with unread bytes would
+        reset the connection before the caller has read the answer.
 
         Example:
             connection.linger()
@@ -214,10 +214,10 @@
         except OSError:
             self.handle_close()
             return
-        self.linger_until_s = time.monotonic() + LINGER_S
+        self.linger_until_s = time.monotonic() + LINGER_TIMEOUT_S
 
     def handle_close(self) -> None:
-        """End it at once.
+        """Close at once.
 
         Example:
             connection.handle_close()
@@ -225,23 +225,23 @@
         if self.socket is None:
             return
         super().handle_close()
-        if self.open:
-            self.server.gone.append(self)
+        if self.awaiting_answer:
+            self.server.closed_connections.append(self)
 
     @property
     def idle(self) -> bool:
-        """Whether no request is on it, not even a part of one, and nothing is being written.
+        """Whether it has no request, not even a partial one, and no output pending.
 
         Example:
             connection.idle
         """
         return not (self.requests or self.request is not None or self.total_outbufs_len)
 
-    def overdue(self, now_s: float, limits: Limits) -> bool:
-        """Look after it; whether a request began on it and did not come whole in time.
+    def check_timeouts(self, now_s: float, limits: Limits) -> bool:
+        """Enforce its timeouts; True if a request on it did not arrive completely in time.
 
         Example:
-            connection.overdue(time.monotonic(), Limits())
+            connection.check_timeouts(time.monotonic(), Limits())
         """
         if self.linger_until_s:
             if now_s >= self.linger_until_s:
@@ -250,21 +250,21 @@
         if self.requests:
             return False
         if self.request is not None:
-            return (now_s - self.partial_s) * 1000 >= limits.header_timeout_ms
-        if (now_s - self._active_s) * 1000 < limits.idle_timeout_ms:
+            return (now_s - self.partial_since_s) * 1000 >= limits.header_timeout_ms
+        if (now_s - self._last_activity_s) * 1000 < limits.idle_timeout_ms:
             return False
-        if self.total_outbufs_len:  # nobody reads its answer
+        if self.total_outbufs_len:  # the caller does not read its answer
             self.handle_close()
             return False
-        self.rest()
+        self.close_if_idle()
         return False
 
-    def rest(self) -> None:
-        """Close it if nothing has arrived on it that was not read yet. What comes after that is
-        left unread, so that its sender sees that nobody took it.
+    def close_if_idle(self) -> None:
+        """Close it unless unread data has arrived. Data that arrives later stays unread, so that
+        its sender can tell that it was not processed.
 
         Example:
-            connection.rest()
+            connection.close_if_idle()
         """
         self.handle(READ)
         if self.idle and not self.linger_until_s:
--- a/tests/test_catch_up_links.py
+++ b/tests/test_catch_up_links.py
@@ -315,7 +315,7 @@
         sim.run(50)
         copies = node.state("replica")
         assert copies.proved_ms < 0 and not copies.in_force
-        assert node.state("role").term == 0 and node.state("role").known is None
+        assert node.state("role").term == 0 and node.state("role").known_holder is None
         assert node.state("placement").term == 0 and node.state("placement").table is None
         assert node.state("acceptor").epoch == 1
     assert all(t.status in (503, 504) for t in told), [t.status for t in told]
