--- a/spokeroute/dispatch/configuration/table_reader.py
+++ b/spokeroute/dispatch/configuration/table_reader.py
@@ -24,8 +24,8 @@
 )
 from spokeroute.dispatch.configuration.route_table import HostRoutes, Table
 from spokeroute.dispatch.configuration.tenant_keys import TenantKeys
-from spokeroute.register.packed import unpack
-from spokeroute.register.stamps import NUMBER
+from spokeroute.register.packing import unpack
+from spokeroute.register.value_metadata import NUMBER_FORMAT
 
 LIST_BEGINS, LIST_ENDS = "[\n", "\n]"
 # The adapter's original document is not needed in tables.
@@ -97,7 +97,7 @@
         Example:
             reader.read(copy.version, copy.digest, value)
         """
-        text = unpack(value, NUMBER.size).decode()
+        text = unpack(value, NUMBER_FORMAT.size).decode()
         without_document, found, _ = text.partition(DOCUMENT_FIELD)
         routes, without_document = _split_off_list(without_document, "routes")
         services, without_document = _split_off_list(without_document, "services")
--- a/spokeroute/dispatch/configuration/value.py
+++ b/spokeroute/dispatch/configuration/value.py
@@ -9,8 +9,8 @@
 from typing import Any
 
 from spokeroute.dispatch.configuration.models import Configuration
-from spokeroute.register.packed import pack, unpack
-from spokeroute.register.stamps import NUMBER, number_of
+from spokeroute.register.packing import pack, unpack
+from spokeroute.register.value_metadata import NUMBER_FORMAT, number_of
 
 CHUNK_END = re.compile(r"(?<=\},)")
 
@@ -32,7 +32,7 @@
     }
     head = json.dumps({"applyId": apply_id, "number": number}, separators=(",", ":"))
     text = head[:-1] + "".join(f',"{name}":{row}' for name, row in rows.items()) + "}"
-    return NUMBER.pack(number) + pack(text.encode())
+    return NUMBER_FORMAT.pack(number) + pack(text.encode())
 
 
 def _chunks(document: str) -> list[str]:
@@ -68,7 +68,7 @@
 
 def _unpack(value: bytes) -> Any:
     # The recorded orders follow the packed part.
-    return json.loads(unpack(value, NUMBER.size))
+    return json.loads(unpack(value, NUMBER_FORMAT.size))
 
 
 def unpack_configuration(value: bytes) -> tuple[dict[str, Any], str]:
--- a/spokeroute/dispatch/placement/state.py
+++ b/spokeroute/dispatch/placement/state.py
@@ -31,7 +31,7 @@
 from spokeroute.dispatch.scaling.sizing import Demand, ListedWorker
 from spokeroute.dispatch.scaling.start_steps import StartSteps
 from spokeroute.ledger.entries import Record
-from spokeroute.register.replica.replica import Fresh
+from spokeroute.register.replica.replica import FreshCopies
 from spokeroute.transport.messages import HeldWord, Probe, Took
 from spokeroute.transport.outcome_messages import OutcomesTold
 
@@ -186,7 +186,7 @@
     )
 
 
-def with_proved_copies(state: State, fresh: Fresh) -> State:
+def with_proved_copies(state: State, fresh: FreshCopies) -> State:
     """Apply newly proved register copies; the placement table only if another node writes it.
 
     Example:
--- a/spokeroute/register/acceptor/expiry.py
+++ b/spokeroute/register/acceptor/expiry.py
@@ -7,7 +7,7 @@
 from immutables import Map
 
 from spokeroute.common.ids import CLAIM_PREFIX, NUMBER_PREFIX, Ms
-from spokeroute.register.numbers import outdated
+from spokeroute.register.configuration_numbers import prunable_numbers
 
 CLAIM_RETENTION_MS = 900_000
 EXPIRING_PREFIXES = (CLAIM_PREFIX, NUMBER_PREFIX)
@@ -38,7 +38,7 @@
         elif now_ms - since_ms > CLAIM_RETENTION_MS:
             expired.append(name)
     known = first_seen.finish()
-    expired.extend(outdated(tuple(numbers), in_force, known, now_ms))
+    expired.extend(prunable_numbers(tuple(numbers), in_force, known, now_ms))
     kept = known.mutate()
     for name in expired:
         del kept[name]
--- a/spokeroute/register/proposer/timeouts.py
+++ b/spokeroute/register/proposer/timeouts.py
@@ -4,7 +4,7 @@
 
 from spokeroute.common.ids import Ms
 from spokeroute.register.changes import Ask
-from spokeroute.register.membership.missing import missing_of
+from spokeroute.register.membership.missing_members import missing_members
 from spokeroute.register.proposer.rounds import Operation, Round, State, lacks_majority
 
 ABSENT_AFTER_MS = 1_500  # after this silence a member has missed some rounds
@@ -17,7 +17,7 @@
     Example:
         new_operation(ask, now_ms).deadline_ms == now_ms + ask.wait_ms
     """
-    fail_fast_after_ms = Ms(now_ms + ask.alone_ms) if ask.alone_ms else Ms(-1)
+    fail_fast_after_ms = Ms(now_ms + ask.no_majority_wait_ms) if ask.no_majority_wait_ms else Ms(-1)
     return Operation(ask, Ms(now_ms + ask.wait_ms), fail_fast_after_ms=fail_fast_after_ms)
 
 
@@ -43,7 +43,7 @@
         return "this registry has no roster yet"
     heard = {m for m, (_, at_ms) in state.last_heard.items() if now_ms - at_ms < ABSENT_AFTER_MS}
     here = heard | {state.me, *current.promises, *current.accepted}
-    missing = missing_of(state.roster, here).text
+    missing = missing_members(state.roster, here).text
     if lacks_majority(state, now_ms):
         return f"this registry has contact with no majority; {missing}"
     return missing
--- a/tests/test_bytes.py
+++ b/tests/test_bytes.py
@@ -21,7 +21,7 @@
 
 def probes_of(state: replica.State, now_ms: int) -> dict[str, Probe]:
     """The probes of one heartbeat, by member."""
-    _, effects = replica.step(replace(state, next_ms=Ms(0)), Tick(), Ms(now_ms))
+    _, effects = replica.step(replace(state, next_probe_ms=Ms(0)), Tick(), Ms(now_ms))
     out: dict[str, Probe] = {}
     for effect in effects:
         if isinstance(effect, Send) and isinstance(effect.message, Probe):
@@ -59,7 +59,7 @@
 
 def tick(state: replica.State, at_ms: int) -> tuple[replica.State, set[str]]:
     probes = probes_of(state, at_ms)
-    state, _ = replica.step(replace(state, next_ms=Ms(0)), Tick(), Ms(at_ms))
+    state, _ = replica.step(replace(state, next_probe_ms=Ms(0)), Tick(), Ms(at_ms))
     return state, asked_for_values(probes)
 
 
@@ -71,7 +71,7 @@
         state, asked = tick(state, at_ms)
         asks.extend(sorted(asked))
         for node in ("m1", "m2", "m3"):
-            if state.asks.open is None or node != state.asks.open.node:
+            if state.value_requests.open is None or node != state.value_requests.open.node:
                 ack = ProbeAck(state.nonce, 1, (), (), ())
                 state, _ = replica.step(state, From(NodeId(node), LIFE, ack), Ms(at_ms + 5))
         assert len(asked) <= 1
@@ -90,7 +90,7 @@
         state, _ = tick(state, at_ms)
     ack = ProbeAck(state.nonce, 1, (), (), ())
     state, _ = replica.step(state, From(NodeId("m3"), LIFE, ack), Ms(9_000))
-    assert state.next_ms <= 9_020 and len(tick(state, 9_020)[1]) == 1
+    assert state.next_probe_ms <= 9_020 and len(tick(state, 9_020)[1]) == 1
 
 
 def test_peers_are_not_asked_for_values_that_the_members_send() -> None:
@@ -137,8 +137,8 @@
 
 def test_frequent_probes_go_only_to_as_many_members_as_a_proof_needs() -> None:
     """While calls wait for an instance, probes are sent up to 25 times a second."""
-    state = replace(with_roster(replica_in_centre()), proved_ms=Ms(1_000),
-                    reports=Reports((), (), within_ms=40, placement=NodeId("m3")))  # fmt: skip
+    reports = Reports((), (), probe_within_ms=40, placement=NodeId("m3"))
+    state = replace(with_roster(replica_in_centre()), proved_ms=Ms(1_000), reports=reports)
     state, _ = tick(state, 1_010)
     assert set(probes_of(state, 1_060)) == {"m2", "m3"}  # of its zone, and the placement member
     anywhere = replace(state, reports=replace(state.reports, placement=NodeId("gone")))
--- a/tests/test_numbers.py
+++ b/tests/test_numbers.py
@@ -26,15 +26,15 @@
 from spokeroute.register.acceptor.expiry import CLAIM_RETENTION_MS
 from spokeroute.register.cells import Cell, Roster
 from spokeroute.register.changes import Ask, Outcome, Read, Settled
-from spokeroute.register.numbers import (
+from spokeroute.register.configuration_numbers import (
+    MAX_KEPT_NUMBERS,
     NUMBER_KEEP_MS,
-    NUMBERS_KEPT,
-    Bind,
+    BindNumber,
     HighestWins,
-    is_number,
+    is_number_register,
 )
-from spokeroute.register.replica.replica import Fresh
-from spokeroute.register.stamps import NUMBER
+from spokeroute.register.replica.replica import FreshCopies
+from spokeroute.register.value_metadata import NUMBER_FORMAT
 from spokeroute.registry import operator
 from spokeroute.registry.operator import Apply
 from spokeroute.transport.messages import Prepare
@@ -81,7 +81,7 @@
 
 
 def order(content: str, number: int = 70) -> Apply:
-    return Apply(SlotId(1, 1), NUMBER.pack(number) + content.encode(), -1, content, number)
+    return Apply(SlotId(1, 1), NUMBER_FORMAT.pack(number) + content.encode(), -1, content, number)
 
 
 def settle(
@@ -94,7 +94,7 @@
 def test_a_number_is_bound_before_the_configuration_is_written() -> None:
     state, effects = operator.step(operator.State("m1"), order("a"), Ms(0))
     bind = asked(effects)
-    assert (bind.register, bind.change) == (number_register(70), Bind("a"))
+    assert (bind.register, bind.change) == (number_register(70), BindNumber("a"))
     state, effects = settle(state, bind, b"a")
     write = asked(effects)
     assert (write.register, write.change) == (CONFIGURATION, HighestWins(order("a").value))
@@ -111,7 +111,7 @@
     state, effects = settle(state, asked(effects), b"a", outcome=outcome)
     read = asked(effects)
     assert (read.register, read.change) == (CONFIGURATION, Read())
-    state, effects = settle(state, read, NUMBER.pack(60), 3)
+    state, effects = settle(state, read, NUMBER_FORMAT.pack(60), 3)
     (reply,) = (e for e in effects if isinstance(e, Reply))
     assert reply.answer.status == 409
     assert b'"number": 70' in reply.answer.body and b"has not come in force" in reply.answer.body
@@ -128,10 +128,10 @@
 def test_an_order_overtaken_after_its_proposal_is_acknowledged() -> None:
     state, effects = operator.step(operator.State("m1"), order("a"), Ms(0))
     state, effects = settle(state, asked(effects), b"a")
-    state, effects = settle(state, asked(effects), NUMBER.pack(80), 9, Outcome.UNSURE)
+    state, effects = settle(state, asked(effects), NUMBER_FORMAT.pack(80), 9, Outcome.UNSURE)
     again = asked(effects)
     assert again.register == CONFIGURATION
-    state, effects = settle(state, again, NUMBER.pack(80), 9)
+    state, effects = settle(state, again, NUMBER_FORMAT.pack(80), 9)
     assert [e.answer.status for e in effects if isinstance(e, Reply)] == [200]
 
 
@@ -139,7 +139,7 @@
 
 
 def kept_numbers(state: acceptor.State) -> list[str]:
-    return sorted(n for n in state.cells if is_number(n))
+    return sorted(n for n in state.cells if is_number_register(n))
 
 
 def member_after_expiry(
@@ -150,34 +150,37 @@
     cells: Map[str, Cell] = Map({str(number_register(n)): cell for n in range(1, numbers + 1)})
     state = acceptor.start(MemberId("m1"), None, True, cells)
     state, _ = acceptor.step(state, Tick(0), Ms(0))
-    fresh = Fresh(Ms(0), {}, {}, None, True, number=in_force)
+    fresh = FreshCopies(Ms(0), {}, {}, None, True, number=in_force)
     state, _ = acceptor.step(state, fresh, Ms(10))
     state, _ = acceptor.step(state, Tick(0), Ms(wait_ms))
     return state
 
 
 def test_a_member_keeps_the_newest_numbers() -> None:
-    state = member_after_expiry(NUMBERS_KEPT + 5, NUMBERS_KEPT + 5)
-    assert kept_numbers(state) == [number_register(n) for n in range(6, NUMBERS_KEPT + 6)]
+    state = member_after_expiry(MAX_KEPT_NUMBERS + 5, MAX_KEPT_NUMBERS + 5)
+    assert kept_numbers(state) == [number_register(n) for n in range(6, MAX_KEPT_NUMBERS + 6)]
     assert state.writing is not None and len(state.writing.deletions) == 5
-    assert len(kept_numbers(member_after_expiry(NUMBERS_KEPT, NUMBERS_KEPT))) == NUMBERS_KEPT
+    assert (
+        len(kept_numbers(member_after_expiry(MAX_KEPT_NUMBERS, MAX_KEPT_NUMBERS)))
+        == MAX_KEPT_NUMBERS
+    )
 
 
 def test_no_number_at_or_above_the_one_in_force_expires() -> None:
     """Even if thousands above it were bound and never came in force."""
-    assert kept_numbers(member_after_expiry(NUMBERS_KEPT + 5, 3))[0] == number_register(3)
-    assert kept_numbers(member_after_expiry(NUMBERS_KEPT + 5, 0))[0] == number_register(1)
+    assert kept_numbers(member_after_expiry(MAX_KEPT_NUMBERS + 5, 3))[0] == number_register(3)
+    assert kept_numbers(member_after_expiry(MAX_KEPT_NUMBERS + 5, 0))[0] == number_register(1)
 
 
 def test_a_number_with_a_recent_round_does_not_expire() -> None:
     assert (
-        len(kept_numbers(member_after_expiry(NUMBERS_KEPT + 5, 9_000, NUMBER_KEEP_MS - 10)))
-        == NUMBERS_KEPT + 5
+        len(kept_numbers(member_after_expiry(MAX_KEPT_NUMBERS + 5, 9_000, NUMBER_KEEP_MS - 10)))
+        == MAX_KEPT_NUMBERS + 5
     )
-    cells = member_after_expiry(NUMBERS_KEPT + 5, 9_000, 10).cells
+    cells = member_after_expiry(MAX_KEPT_NUMBERS + 5, 9_000, 10).cells
     roster = Roster(Epoch(1), ((MemberId("m1"), Address("10.0.0.1:1")),))
     state = acceptor.start(MemberId("m1"), roster, True, cells)
-    state, _ = acceptor.step(state, Fresh(Ms(0), {}, {}, None, True, number=9_000), Ms(0))
+    state, _ = acceptor.step(state, FreshCopies(Ms(0), {}, {}, None, True, number=9_000), Ms(0))
     state, _ = acceptor.step(state, Tick(0), Ms(0))
     late = Prepare(1, number_register(2), 9, "m2")
     state, _ = acceptor.step(state, From(NodeId("m2"), Incarnation(1), late), Ms(70_000))
@@ -371,7 +374,7 @@
     sim: Sim, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Injected fault: the last binding of a number wins."""
-    monkeypatch.setattr(Bind, "decide", lambda self, version, value: self.content.encode())
+    monkeypatch.setattr(BindNumber, "decide", lambda self, version, value: self.content.encode())
     ready(sim)
     assert [sent(sim, name, 70, 1).status for name in ("a", "b")] == [200, 200]
     assert any("2 contents" in text for text in one_content_a_number(sim.log()))
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -23,15 +23,15 @@
 from spokeroute.dispatch.configuration.validation import check_regions
 from spokeroute.dispatch.placement.table import EvacuationChange, pack_evacuated, unpack_evacuated
 from spokeroute.http.wsgi import respond, serve
-from spokeroute.register.numbers import MAX_NUMBER
-from spokeroute.register.stamps import (
-    NUMBER,
-    ORDERS_KEPT,
+from spokeroute.register.configuration_numbers import MAX_NUMBER
+from spokeroute.register.value_metadata import (
+    MAX_KEPT_ORDERS,
+    NUMBER_FORMAT,
+    AppliedOrder,
     ApplyOnce,
-    Made,
-    made_of,
+    applied_orders,
     number_of,
-    stamped,
+    with_metadata,
 )
 from spokeroute.registry.headers import expected_version, number_parameter, order_id_header
 from tests.sim.acts import after
@@ -89,19 +89,21 @@
 
 def test_the_newest_orders_are_remembered() -> None:
     value = b""
-    for version in range(ORDERS_KEPT + 6):
-        value = ApplyOnce(version, f"a{version}", "c", NUMBER.pack(0) + b"body").decide(
+    for version in range(MAX_KEPT_ORDERS + 6):
+        value = ApplyOnce(version, f"a{version}", "c", NUMBER_FORMAT.pack(0) + b"body").decide(
             version, value
         ) or pytest.fail("not written")
-    made = made_of(value)
-    assert [m.version for m in made] == list(range(7, ORDERS_KEPT + 7))
+    made = applied_orders(value)
+    assert [m.version for m in made] == list(range(7, MAX_KEPT_ORDERS + 7))
     assert len(value) < 3_000
-    assert ApplyOnce(70, "a69", "c", NUMBER.pack(0)).decide(70, value) is None
+    assert ApplyOnce(70, "a69", "c", NUMBER_FORMAT.pack(0)).decide(70, value) is None
 
 
 def test_an_unnumbered_apply_keeps_the_number(sim: Sim) -> None:
     """A resent order with a lower number changes nothing afterwards."""
-    assert number_of(stamped(NUMBER.pack(0) + b"x", NUMBER.pack(70) + b"y")) == 70
+    assert (
+        number_of(with_metadata(NUMBER_FORMAT.pack(0) + b"x", NUMBER_FORMAT.pack(70) + b"y")) == 70
+    )
     ready(sim)
     assert sent(sim, "sixty", 60).status == 200
     assert sent(sim, "seventy", 70).status == 200
@@ -147,7 +149,7 @@
 
 def test_the_previous_format_is_read() -> None:
     assert unpack_evacuated(b'["north"]') == {"north"}
-    assert unpack_evacuated(pack_evacuated(frozenset({"a"}), (Made("x", 1),))) == {"a"}
+    assert unpack_evacuated(pack_evacuated(frozenset({"a"}), (AppliedOrder("x", 1),))) == {"a"}
 
 
 # the operator's client
--- a/tests/test_own_names.py
+++ b/tests/test_own_names.py
@@ -30,7 +30,7 @@
 from spokeroute.exchange.entry import HeldNow
 from spokeroute.exchange.held_instance import CONNECT_TIMEOUT_MS
 from spokeroute.exchange.types import SendAttempt
-from spokeroute.register.replica.replica import Fresh
+from spokeroute.register.replica.replica import FreshCopies
 from spokeroute.transport.call_messages import (
     Forward,
     Forwarded,
@@ -170,7 +170,7 @@
     booting = placed("a", "w1", state=STARTING, warm=True, routed=False, limit=1, identity="i-1")
     state = holder.State(NodeId("ex1"), 1)
     now_ms = Ms(1_000)
-    fresh = Fresh(
+    fresh = FreshCopies(
         now_ms,
         {},
         {"floor": pack_placement_table(PlacementTable(Term(1), 1, (booting,)))},
--- a/tests/test_patches.py
+++ b/tests/test_patches.py
@@ -41,9 +41,9 @@
     RecentValues,
 )
 from spokeroute.register.cells import digest_of
-from spokeroute.register.packed import pack
+from spokeroute.register.packing import pack
 from spokeroute.register.patches import apply_patch, make_patch, runs_of
-from spokeroute.register.stamps import NUMBER, Made, number_of, stamped
+from spokeroute.register.value_metadata import NUMBER_FORMAT, AppliedOrder, number_of, with_metadata
 from spokeroute.transport.messages import Copy, ValuePatch
 from tests.sim.storms import wide
 
@@ -93,8 +93,8 @@
 
 def test_a_change_of_one_route_takes_a_fraction_of_the_configuration() -> None:
     """Also with the recorded orders that follow the configuration and the number before it."""
-    base = stamped(configured(7, 4_000), b"", Made("order-7", 1, "c1"))
-    value = stamped(configured(9, 5_000), base, Made("order-9", 2, "c2"))
+    base = with_metadata(configured(7, 4_000), b"", AppliedOrder("order-7", 1, "c1"))
+    value = with_metadata(configured(9, 5_000), base, AppliedOrder("order-9", 2, "c2"))
     patch = patched(CONFIGURATION, base, value)
     got = apply_patch(patch, base)
     assert got == value and number_of(got) == 9
@@ -132,7 +132,7 @@
     few = pack_placement_table(PlacementTable(Term(3), 2, (placed(900),)))
     assert make_patch("d", base, copy_of(FLOOR, few), few) is None
     assert make_patch("d", b"{}", copy_of("roster", b"[]"), b"[]") is None
-    otherwise = NUMBER.pack(3) + configured(3, 4_000)[NUMBER.size :] + b"tail"
+    otherwise = NUMBER_FORMAT.pack(3) + configured(3, 4_000)[NUMBER_FORMAT.size :] + b"tail"
     assert apply_patch(patched(CONFIGURATION, configured(2, 4_000), otherwise),
                        configured(2, 4_000)) == otherwise  # fmt: skip
 
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -14,7 +14,7 @@
 from spokeroute.common.settings import Settings, SettingsError, check_settings, read_settings
 from spokeroute.register.cells import Roster
 from spokeroute.register.replica import replica
-from spokeroute.register.replica.value_asks import ValueAsks, bringers
+from spokeroute.register.replica.value_requests import ValueRequests, value_sources
 from spokeroute.transport import peers
 from spokeroute.transport.messages import Copy, Probe, ProbeAck, ViewEntry
 from spokeroute.transport.process import Me
@@ -39,7 +39,7 @@
 def test_values_are_fetched_from_the_own_zone_then_the_own_region() -> None:
     members = tuple(NodeId(f"m-{zone}") for zone in REGIONS)
     zones = {f"m-{zone}": zone for zone in REGIONS}
-    order = bringers(members, zones, Places("b2", REGIONS), "h:1")
+    order = value_sources(members, zones, Places("b2", REGIONS), "h:1")
     assert order[:2] == ("m-b2", "m-b1")
 
 
@@ -111,7 +111,7 @@
     assert len(probes) == 3
     for number, member in enumerate(probes):
         state, _ = replica.step(state, probe_ack(state, member, 4 + number % 2), Ms(1_530))
-    assert state.next_ms <= 1_550
+    assert state.next_probe_ms <= 1_550
     _, again = probed_members(state, 1_550)
     assert len(again) == 5
 
@@ -120,18 +120,18 @@
     state, probes = probed_members(exchange_state(within_ms=0), 1_500)
     for number, member in enumerate(probes):
         state, _ = replica.step(state, probe_ack(state, member, 4 + number % 2), Ms(1_530))
-    assert state.next_ms > 1_600
+    assert state.next_probe_ms > 1_600
 
 
 def test_members_of_other_regions_are_probed_less_often() -> None:
     """Regular probes go to a quorum that includes all members of the own region. All members are
     probed occasionally, because they count silent exchanges."""
-    state = replace(exchange_state(within_ms=0), turn_ms=Ms(0))
+    state = replace(exchange_state(within_ms=0), last_turn_ms=Ms(0))
     state, probes = probed_members(state, 1_500)
     assert {"m-a1", "m-a2"} < set(probes) and len(probes) == 3
-    late = replace(state, proved_ms=Ms(900), turn_ms=Ms(0))
+    late = replace(state, proved_ms=Ms(900), last_turn_ms=Ms(0))
     assert len(probed_members(late, 1_500)[1]) == 5
-    rare = replace(state, all_probed_ms=Ms(0), turn_ms=Ms(0))
+    rare = replace(state, last_full_probe_ms=Ms(0), last_turn_ms=Ms(0))
     assert len(probed_members(rare, 1_500)[1]) == 5
 
 
@@ -147,15 +147,15 @@
         zones=Map({name: name[2:] for name in MEMBERS}),
         places=Places("a1", REGIONS),
         proved_ms=Ms(1_400),
-        turn_ms=Ms(1_400),
-        asks=ValueAsks(heard_ms=Ms(1_400)),
-        all_probed_ms=Ms(1_400),
-        reports=replica.Reports((), (), within_ms=within_ms, placement=NodeId("m-b1")),
+        last_turn_ms=Ms(1_400),
+        value_requests=ValueRequests(heard_ms=Ms(1_400)),
+        last_full_probe_ms=Ms(1_400),
+        reports=replica.Reports((), (), probe_within_ms=within_ms, placement=NodeId("m-b1")),
     )
 
 
 def probed_members(state: replica.State, at_ms: int) -> tuple[replica.State, tuple[str, ...]]:
-    state, effects = replica.step(replace(state, next_ms=Ms(at_ms)), Tick(0), Ms(at_ms))
+    state, effects = replica.step(replace(state, next_probe_ms=Ms(at_ms)), Tick(0), Ms(at_ms))
     return state, tuple(
         e.to for e in effects if isinstance(e, Send) and isinstance(e.message, Probe)
     )
--- a/tests/test_stale_messages.py
+++ b/tests/test_stale_messages.py
@@ -274,7 +274,7 @@
             asked, _ = replica.step(
                 asked, From(member, INCARNATION, ack(nonce, 3, epoch)), Ms(1_010)
             )
-        assert (asked.target_ms == Ms(1_000)) == proves
+        assert (asked.latest_agreed_ms == Ms(1_000)) == proves
 
 
 def test_a_ledger_acknowledgement_of_an_earlier_incarnation_is_ignored() -> None:
