--- a/spokeroute/exchange/silent_holders.py
+++ b/spokeroute/exchange/silent_holders.py
@@ -59,11 +59,11 @@
         if pinged_ms is None or now_ms - pinged_ms > MAX_TIMEOUT_MS:
             return self
         took_ms = float(now_ms - pinged_ms)
-        old, anyone = self.round_trips.get(node), self.overall_round_trip
+        old, old_overall = self.round_trips.get(node), self.overall_round_trip
         trip = old.with_sample(took_ms) if old else RoundTrip.first(took_ms)
-        any_trip = anyone.with_sample(took_ms) if anyone else RoundTrip.first(took_ms)
+        overall = old_overall.with_sample(took_ms) if old_overall else RoundTrip.first(took_ms)
         return replace(
-            self, round_trips=self.round_trips.set(node, trip), overall_round_trip=any_trip
+            self, round_trips=self.round_trips.set(node, trip), overall_round_trip=overall
         )
 
     def timeout_ms(self, node: str) -> float:
@@ -108,8 +108,8 @@
 
         Example:
             >>> at_100 = Map({"ex1": 100})
-            >>> asked = SilentHolders(first_ping_ms=at_100, last_ping_ms=at_100)
-            >>> asked.with_timers_extended(200).first_ping_ms["ex1"]
+            >>> pinged = SilentHolders(first_ping_ms=at_100, last_ping_ms=at_100)
+            >>> pinged.with_timers_extended(200).first_ping_ms["ex1"]
             300
         """
         if by_ms <= 0:
--- a/spokeroute/http/listener.py
+++ b/spokeroute/http/listener.py
@@ -135,9 +135,7 @@
         """
         limits = self._limits
         lag_s = now_s - self.last_sweep_s - SWEEP_INTERVAL_S
-        if (
-            lag_s > SWEEP_INTERVAL_S
-        ):  # time in which this process was stalled does not count against callers
+        if lag_s > SWEEP_INTERVAL_S:  # a stall of this process is not the callers' delay
             for each in self.active_channels.values():
                 each.partial_since_s += lag_s
         self.last_sweep_s = now_s
@@ -199,11 +197,11 @@
             self.close()
 
     @property
-    def has_unclosed(self) -> bool:
+    def has_open_clients(self) -> bool:
         """Whether a caller has not closed after its last answer, or has not sent a request yet.
 
         Example:
-            listener.has_unclosed
+            listener.has_open_clients
         """
         channels = self.active_channels.values()
         return any(x.linger_until_s or not x.served for x in channels)
--- a/tests/scripted_instance.py
+++ b/tests/scripted_instance.py
@@ -66,7 +66,7 @@
 
 
 @dataclass
-class Got:
+class ReceivedRequest:
     """A received request."""
 
     name: str
@@ -75,11 +75,11 @@
 
 
 @dataclass
-class Instance:
+class ScriptedInstance:
     """Answers in the order of ``script``; requests past its end are rejected as not run."""
 
     script: deque[tuple[How, int]]
-    got: list[Got] = field(default_factory=list)
+    received: list[ReceivedRequest] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.server = socket.create_server(("127.0.0.1", 0))
@@ -108,8 +108,8 @@
             while (request := self._read(sock)) is not None:
                 how, at = self.script.popleft() if self.script else (How.AWAY, 0)
                 name = request.decode("latin-1")
-                got = Got(name, how, len(self.got))
-                self.got.append(got)
+                got = ReceivedRequest(name, how, len(self.received))
+                self.received.append(got)
                 data = self._bytes(got, at, before)
                 sock.sendall(data)
                 before = reply(name, body_of(name, got.serial))
@@ -135,7 +135,7 @@
         named = NAME.search(head + b"\r\n")
         return named[1] if named else b""
 
-    def _bytes(self, got: Got, at: int, before: bytes) -> bytes:
+    def _bytes(self, got: ReceivedRequest, at: int, before: bytes) -> bytes:
         name, body = got.name, body_of(got.name, got.serial)
         good = reply(name, body)
         match got.how:
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -23,7 +23,7 @@
 from spokeroute.exchange.sender import InstanceConnection, Sender
 from spokeroute.exchange.types import AttemptDone, SendAttempt
 from spokeroute.http.reader import BoundedReader, Response, UntrustedError
-from tests.scripted_instance import CERTAIN, How, Instance, body_of, chunked, reply
+from tests.scripted_instance import CERTAIN, How, ScriptedInstance, body_of, chunked, reply
 from tests.test_edge import send_attempt
 from tests.test_sender_dialect import DIALECT
 
@@ -38,7 +38,7 @@
     """A sender and a scripted instance, one call after the other."""
 
     def __init__(self, script: list[tuple[How, int]]) -> None:
-        self.instance = Instance(deque(script))
+        self.instance = ScriptedInstance(deque(script))
         self.done: queue.Queue[AttemptDone] = queue.Queue()
         self.sender = Sender(self.done.put, DIALECT)
 
@@ -56,9 +56,9 @@
 
     def judged(self, name: str) -> AttemptDone:
         """One call, held against what the instance saw of it."""
-        before = len(self.instance.got)
+        before = len(self.instance.received)
         done = self.call(name)
-        came = self.instance.got[before:]
+        came = self.instance.received[before:]
         assert len(came) <= 1, "sent twice"
         assert all(got.name == name for got in came)
         if done.ran == Ran.NO:
