--- a/spokeroute/common/switches.py
+++ b/spokeroute/common/switches.py
@@ -44,13 +44,13 @@
     queue_transfer: bool = True
     """Calls leave a queue for an instance that has room (``exchange/calls.py``)."""
     early_refusal: bool = True
-    """A call whose turn would come too late is refused at once (``exchange/entry.py``)."""
+    """A call whose turn would come too late is refused at once (``exchange/call_state.py``)."""
     second_sends: bool = True
     """Calls are sent to a second instance, within the budget (``nodes.py``)."""
     unheld_sends: bool = True
-    """Calls go to instances that no living exchange holds (``exchange/moves.py``)."""
+    """Calls go to instances that no living exchange holds (``exchange/unheld.py``)."""
     ranked_lists: bool = True
-    """LAAF's lists choose the successor (``exchange/entry.py``)."""
+    """LAAF's lists choose the successor (``exchange/call_state.py``)."""
     accumulated_utilization: bool = True
     """LAAF adds a function's load to the expected utilization of its successor
     (``dispatch/flare/steering.py``)."""
--- a/spokeroute/exchange/moves.py
+++ b/spokeroute/exchange/call_transitions.py
@@ -8,9 +8,7 @@
 from spokeroute.common.places import Distance
 from spokeroute.common.replacing import replace
 from spokeroute.exchange.authentication import shown_headers
-from spokeroute.exchange.claim_asks import ask_core
-from spokeroute.exchange.claiming import ask_claim, not_run
-from spokeroute.exchange.entry import (
+from spokeroute.exchange.call_state import (
     State,
     end_attempt,
     expect_ms,
@@ -23,6 +21,8 @@
     take_off,
     took_note,
 )
+from spokeroute.exchange.claim_messages import ask_claim, not_run
+from spokeroute.exchange.claim_requests import ask_core
 from spokeroute.exchange.filters import queue_too_long
 from spokeroute.exchange.outcomes import Outcome, is_late, late_reason, refusal_reason
 from spokeroute.exchange.pick import STARTING_RULE, UNHELD, Picked, pick, with_room
--- a/spokeroute/exchange/claim_asks.py
+++ b/spokeroute/exchange/claim_requests.py
@@ -10,8 +10,8 @@
 from spokeroute.common.effects import Effects, Send
 from spokeroute.common.ids import Ms
 from spokeroute.common.replacing import replace
-from spokeroute.exchange.claiming import ask_claim
-from spokeroute.exchange.entry import State, put
+from spokeroute.exchange.call_state import State, put
+from spokeroute.exchange.claim_messages import ask_claim
 from spokeroute.exchange.round_trip import RoundTrip
 from spokeroute.exchange.types import Call, ClaimAsked, Phase
 from spokeroute.transport.messages import ClaimGot
--- a/spokeroute/exchange/lost_holders.py
+++ b/spokeroute/exchange/lost_holders.py
@@ -9,8 +9,8 @@
 from spokeroute.common.effects import Effect, Effects, Send, Unreached
 from spokeroute.common.ids import Ms
 from spokeroute.common.replacing import replace
-from spokeroute.exchange.entry import State
-from spokeroute.exchange.moves import lose_attempt, unsent_attempt
+from spokeroute.exchange.call_state import State
+from spokeroute.exchange.call_transitions import lose_attempt, unsent_attempt
 from spokeroute.exchange.reasons import Cause
 from spokeroute.exchange.silence import look
 from spokeroute.exchange.types import LinkDown
--- a/spokeroute/exchange/requeue.py
+++ b/spokeroute/exchange/requeue.py
@@ -16,7 +16,7 @@
 from spokeroute.common.ids import Ms
 from spokeroute.common.replacing import replace
 from spokeroute.dispatch.placement.table import Placed
-from spokeroute.exchange.entry import PRESSING_MS, State, lost_to, put
+from spokeroute.exchange.call_state import PRESSING_MS, State, lost_to, put
 from spokeroute.exchange.pick import soon_usable, usable
 from spokeroute.exchange.types import Attempt, Call
 from spokeroute.transport.call_messages import (
--- a/spokeroute/exchange/told.py
+++ b/spokeroute/exchange/told.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from spokeroute.exchange import entry, holder
+from spokeroute.exchange import call_state, holder
 from spokeroute.metrics import MS, Figures
 from spokeroute.transport.process import Process
 
@@ -14,7 +14,7 @@
         text_of(exchange_figures(process))
     """
     now_ms = process.world.now_ms()
-    calls: entry.State = process.actors["calls"].state
+    calls: call_state.State = process.actors["calls"].state
     held: holder.State = process.actors["holder"].state
     return Figures(
         calls.outcomes.total,
--- a/spokeroute/exchange/unheld.py
+++ b/spokeroute/exchange/unheld.py
@@ -7,7 +7,7 @@
 from spokeroute.common.ids import Incarnation, Ms
 from spokeroute.common.replacing import replace
 from spokeroute.dispatch.placement.table import Placed
-from spokeroute.exchange.entry import State, lost_to
+from spokeroute.exchange.call_state import State, lost_to
 from spokeroute.exchange.pick import UNHELD, Picked, instances_for, usable
 from spokeroute.exchange.types import Call
 
--- a/spokeroute/exchange/withdrawal.py
+++ b/spokeroute/exchange/withdrawal.py
@@ -5,7 +5,7 @@
 from spokeroute.common.answers import Kind
 from spokeroute.common.effects import Effects, Send
 from spokeroute.exchange.authentication import caller_of
-from spokeroute.exchange.entry import State
+from spokeroute.exchange.call_state import State
 from spokeroute.exchange.types import Call
 from spokeroute.transport.call_messages import ForwardDrop
 
--- a/tests/sends_model.py
+++ b/tests/sends_model.py
@@ -36,7 +36,7 @@
     pack_configuration,
 )
 from spokeroute.dispatch.placement.table import UP, Placed
-from spokeroute.exchange import calls, entry, holder
+from spokeroute.exchange import call_state, calls, holder
 from spokeroute.exchange.budget import Budget
 from spokeroute.exchange.types import (
     AttemptDone,
@@ -129,7 +129,7 @@
         self.badly = 0  # answers that are this system's own
         self.again = 0
         self.lives = {node: 1 for node in HOLDERS}
-        self.entry = entry.State(ME, 1, Budget(0, exchanges=1))
+        self.entry = call_state.State(ME, 1, Budget(0, exchanges=1))
         self.holders = {node: holder.State(node, 1) for node in HOLDERS}
         self.floor()
         for node in HOLDERS:
--- a/tests/test_given_up.py
+++ b/tests/test_given_up.py
@@ -13,7 +13,7 @@
 from spokeroute.common.ids import Incarnation, Ms, NodeId
 from spokeroute.common.replacing import replace
 from spokeroute.exchange import calls
-from spokeroute.exchange.entry import State, coming, given_up
+from spokeroute.exchange.call_state import State, coming, given_up
 from spokeroute.exchange.reasons import DRAINS, NO_ROOM_IN_TIME, NOT_HELD
 from spokeroute.exchange.unheld import adopt
 from spokeroute.register.replica.replica import Reports
--- a/tests/test_guests.py
+++ b/tests/test_guests.py
@@ -28,7 +28,7 @@
     pack_configuration,
 )
 from spokeroute.dispatch.placement.table import UP, Placed
-from spokeroute.exchange import calls, entry, holder
+from spokeroute.exchange import call_state, calls, holder
 from spokeroute.exchange.budget import Budget
 from spokeroute.exchange.lost_holders import lose_moved
 from spokeroute.exchange.reasons import NOT_HELD
@@ -138,8 +138,10 @@
         Ms(11_000), table, by_service=Map({"s": (placed,)}), by_id=Map({"i": placed}),
         rule_ms=20_000,
     )  # fmt: skip
-    state = entry.State(NodeId("ex1"), 1, Budget(0), tables)
-    state = replace(entry.put(state, call), attempt_of=Map({"c1.0": 1}), outstanding=Map({"i": 1}))
+    state = call_state.State(NodeId("ex1"), 1, Budget(0), tables)
+    state = replace(
+        call_state.put(state, call), attempt_of=Map({"c1.0": 1}), outstanding=Map({"i": 1})
+    )
     no = Forwarded("c1.0", "no", "refused: the instance said 503, not run", 503, (), b"")
     state, effects = calls.step(state, From(NodeId("ex1"), Incarnation(1), no), Ms(11_010))
     assert effects == ()
--- a/tests/test_own_names.py
+++ b/tests/test_own_names.py
@@ -19,8 +19,8 @@
 )
 from spokeroute.dispatch.placement.table import STARTING, UP, Floor, Placed, pack_floor
 from spokeroute.exchange import holder
+from spokeroute.exchange.call_state import HeldNow
 from spokeroute.exchange.connect import Connect, ConnectDone
-from spokeroute.exchange.entry import HeldNow
 from spokeroute.exchange.held_instance import CONNECT_WAIT_MS
 from spokeroute.exchange.types import SendAttempt
 from spokeroute.register.replica.replica import Fresh
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -21,7 +21,7 @@
 )
 from spokeroute.dispatch.flare.algorithms import Function, Picture, Site
 from spokeroute.dispatch.placement.table import UP, Placed
-from spokeroute.exchange import calls, entry
+from spokeroute.exchange import call_state, calls
 from spokeroute.exchange.budget import WINDOW_MS, Budget
 from spokeroute.exchange.pick import pick
 from spokeroute.exchange.successor_lists import SuccessorLists, merged
@@ -72,7 +72,7 @@
 
 
 def test_lists_of_an_older_term_or_sequence_are_dropped() -> None:
-    state = entry.State(NodeId("ex1"), 1, Budget(0))
+    state = call_state.State(NodeId("ex1"), 1, Budget(0))
     first = Lists(2, 5, 1, 0, (Successors("s", "w1", ("first",)),))
     state, _ = calls.step(state, From(NodeId("m"), Incarnation(1), first), Ms(10))
     kept = state.lists
@@ -114,7 +114,7 @@
 
 
 def test_the_number_of_exchanges_comes_with_the_lists() -> None:
-    state = entry.State(NodeId("ex1"), 1, Budget(0, exchanges=0))
+    state = call_state.State(NodeId("ex1"), 1, Budget(0, exchanges=0))
     lists = Lists(2, 5, 1, 0, (), 86)
     state, _ = calls.step(state, From(NodeId("m"), Incarnation(1), lists), Ms(10))
     assert state.budget.exchanges == 86
--- a/tests/test_pressed.py
+++ b/tests/test_pressed.py
@@ -11,7 +11,7 @@
 from spokeroute.common.ids import Ms, NodeId
 from spokeroute.exchange import calls
 from spokeroute.exchange.budget import Budget
-from spokeroute.exchange.entry import NOT_PRESSED, State, pressed, report
+from spokeroute.exchange.call_state import NOT_PRESSED, State, pressed, report
 from spokeroute.exchange.types import first_tables
 from spokeroute.register.replica.replica import Reports
 
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -11,11 +11,11 @@
 from spokeroute.common.ids import Incarnation, Ms, NodeId, Version
 from spokeroute.dispatch.configuration.configuration import Programs, Table, Thresholds
 from spokeroute.dispatch.placement.table import STARTING, UP, Placed
-from spokeroute.exchange import calls, entry, holder, requeue
+from spokeroute.exchange import call_state, calls, holder, requeue
 from spokeroute.exchange.backlog import CROWD_CALLS, CROWD_MS, Backlog
 from spokeroute.exchange.budget import Budget
+from spokeroute.exchange.call_transitions import TURNED_MS
 from spokeroute.exchange.held_instance import QUEUED_TOLD_MS, Handed, HeldInstance, Waiting
-from spokeroute.exchange.moves import TURNED_MS
 from spokeroute.exchange.reasons import BUSY, LEFT_QUEUE, NO_ROOM_IN_TIME
 from spokeroute.exchange.types import Call, Phase, Revoke, Tables
 from spokeroute.transport.call_messages import (
@@ -48,11 +48,13 @@
     return HeldInstance(placed("i"), queue=queue, handed=handed, run_ms=run_ms)
 
 
-def entry_with(call: Call, *instances: Placed, outstanding: Map[str, int] = ONE) -> entry.State:
+def entry_with(
+    call: Call, *instances: Placed, outstanding: Map[str, int] = ONE
+) -> call_state.State:
     tables = Tables(by_service=Map({"s": instances}), by_id=Map({p.id: p for p in instances}))
     attempt_of = Map({name: call.ask.slot.index for name in call.attempts})
-    state = entry.State(ENTRY, 1, Budget(0), tables=tables, attempt_of=attempt_of)
-    return entry.put(replace(state, outstanding=outstanding), call)
+    state = call_state.State(ENTRY, 1, Budget(0), tables=tables, attempt_of=attempt_of)
+    return call_state.put(replace(state, outstanding=outstanding), call)
 
 
 def no(reason: str) -> From:
--- a/tests/test_second_sends.py
+++ b/tests/test_second_sends.py
@@ -15,7 +15,7 @@
 from spokeroute.common.effects import Note, SlotId
 from spokeroute.common.ids import Ms, NodeId
 from spokeroute.common.slab import Slots
-from spokeroute.exchange import calls, entry, holder, moves
+from spokeroute.exchange import call_state, call_transitions, calls, holder
 from spokeroute.exchange.resend import Allowed, allowed, noted
 from spokeroute.exchange.seen import REMEMBER_MS, Seen
 from spokeroute.exchange.types import Attempt, Call
@@ -50,7 +50,7 @@
 def any_life(patch: pytest.MonkeyPatch) -> type[Sends]:
     """The entry takes an answer by the attempt's id alone, from whichever life of the holder."""
 
-    def believed(state: entry.State, attempt_id: str, sender: object) -> bool | None:
+    def believed(state: call_state.State, attempt_id: str, sender: object) -> bool | None:
         return True if attempt_id in state.attempt_of else None
 
     patch.setattr(calls, "believed", believed)
@@ -73,12 +73,12 @@
     """What may have run goes on like what did not."""
 
     def may_have_run(
-        state: entry.State, call: Call, each: Attempt, why: str, now_ms: Ms
-    ) -> tuple[entry.State, Any]:
-        return moves.go_on(entry.put(state, call), call, now_ms)
+        state: call_state.State, call: Call, each: Attempt, why: str, now_ms: Ms
+    ) -> tuple[call_state.State, Any]:
+        return call_transitions.go_on(call_state.put(state, call), call, now_ms)
 
     patch.setattr(calls, "may_have_run", may_have_run)
-    patch.setattr(moves, "may_have_run", may_have_run)
+    patch.setattr(call_transitions, "may_have_run", may_have_run)
     return Sends
 
 
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -8,8 +8,8 @@
 from spokeroute.common.ids import Ms, NodeId
 from spokeroute.common.replacing import replace
 from spokeroute.exchange.budget import Budget
+from spokeroute.exchange.call_state import State, put
 from spokeroute.exchange.calls import step
-from spokeroute.exchange.entry import State, put
 from spokeroute.exchange.silence import (
     AGAIN_MS,
     ASK_MS,
--- a/tests/test_slow_claims.py
+++ b/tests/test_slow_claims.py
@@ -13,7 +13,7 @@
 from spokeroute.common.effects import Effects, From, Reply, Send, Tick
 from spokeroute.common.ids import Incarnation, Ms, NodeId
 from spokeroute.exchange import calls
-from spokeroute.exchange.entry import State
+from spokeroute.exchange.call_state import State
 from spokeroute.exchange.types import Call, Phase
 from spokeroute.transport.messages import ClaimAsk, ClaimGot
 from tests.sim.cluster import Sim
--- a/tests/test_switches.py
+++ b/tests/test_switches.py
@@ -17,7 +17,7 @@
 from spokeroute.dispatch.flare.algorithms import Function, Picture, Site, laaf
 from spokeroute.dispatch.placement.reports import Reported, demand_now
 from spokeroute.dispatch.scaling.scaler import Demand, spares_of, wanted_of
-from spokeroute.exchange.entry import State, expect_ms, listed
+from spokeroute.exchange.call_state import State, expect_ms, listed
 from spokeroute.nodes import Start, build_exchange
 from spokeroute.register.replica.compile_queue import RESTS
 from spokeroute.transport.list_messages import Lists, Successors
