--- a/spokeroute/exchange/call_transitions.py
+++ b/spokeroute/exchange/call_transitions.py
@@ -59,12 +59,12 @@
     if fault is not None:
         return refuse(state, call, fault, WITHDRAWAL_REASONS[fault], now_ms)
     picked = pick(
-        call, state.tables, state.lists, state.outstanding, state.shunned_ms,
+        call, state.tables, state.lists, state.outstanding, state.avoided_until_ms,
         state.me, now_ms, state.places, lost_instances(state, now_ms),
     )  # fmt: skip
-    if call.bound_for and not call.touched:
+    if call.requeue_target and not call.tried_instances:
         picked = pick_with_room(call, state.tables, state.places) or picked
-        call = replace(call, bound_for="")
+        call = replace(call, requeue_target="")
     if picked is None and state.bounds.rejection_safe and state.switches.unheld_sends:
         picked = pick_unheld(state, call, now_ms)
     if picked is None and _all_zones_evacuated(state, call):
@@ -76,17 +76,17 @@
     if why_again is None:
         return answer_unknown(state, call, now_ms)
     name = call.service.name
-    if call.resend or (call.touched and picked.placed.id not in call.touched):
-        spent = len(call.touched) >= call.route.attempts
+    if call.was_refused or (call.tried_instances and picked.placed.id not in call.tried_instances):
+        spent = len(call.tried_instances) >= call.route.attempts
         if spent or not state.budget.allows(name, now_ms):
             return _deny_resend(state, call, spent, now_ms)
-        call = replace(call, resend=False)
-        state = replace(state, budget=state.budget.second(name, now_ms))
+        call = replace(call, was_refused=False)
+        state = replace(state, budget=state.budget.count_resend(name, now_ms))
         state = record_successor(state, call, picked.placed.id, picked.rule, now_ms)
-    elif not call.failed and not call.attempts and call.draws == 0:
-        state = replace(state, budget=state.budget.first(name, now_ms))
+    elif not call.failed and not call.attempts and call.send_count == 0:
+        state = replace(state, budget=state.budget.count_first(name, now_ms))
     notes: tuple[Effect, ...] = ()
-    if call.draws:
+    if call.send_count:
         resends, note = count_resend(state.resends, call, why_again, picked.placed.id)
         state, notes = replace(state, resends=resends), (note,)
     state, sent = _forward_call(state, call, picked, now_ms)
@@ -96,12 +96,12 @@
 def _all_zones_evacuated(state: State, call: Call) -> bool:
     """Whether a call, which no instance may have run, can run in none of its route's regions."""
     zones = state.places.zones_of(call.route.regions)
-    return bool(zones) and zones <= state.tables.evacuated and not call.touched
+    return bool(zones) and zones <= state.tables.evacuated and not call.tried_instances
 
 
 def _hold(state: State, call: Call, now_ms: Ms) -> tuple[State, Effects]:
     """There is no instance for a call now: it waits, or ends where it may have run."""
-    if call.touched and not call.attempts and call.maybe:
+    if call.tried_instances and not call.attempts and call.may_have_run:
         return answer_unknown(state, call, now_ms)
     held = replace(call, phase=Phase.WAITING, next_ms=Ms(now_ms + PICK_RETRY_MS))
     return report_urgently(store_call(state, held), call.service.name, now_ms)
@@ -109,25 +109,25 @@
 
 def _deny_resend(state: State, call: Call, spent: bool, now_ms: Ms) -> tuple[State, Effects]:
     """A call that needs a second send gets none: its route's attempts or the budget are spent."""
-    if call.maybe:
+    if call.may_have_run:
         return answer_unknown(state, call, now_ms)
     limit = "as often as the route allows" if spent else "budget spent"
-    return refuse(state, call, Kind.UNREACHED, f"{call.why}; {limit}", now_ms)
+    return refuse(state, call, Kind.UNREACHED, f"{call.reason}; {limit}", now_ms)
 
 
 def _forward_call(state: State, call: Call, picked: Picked, now_ms: Ms) -> tuple[State, Effect]:
     """A new attempt of a call, to the holder of the picked instance."""
     placed = picked.placed
-    attempt_id = f"{call.ask.call_id}.{call.draws}"
+    attempt_id = f"{call.request.call_id}.{call.send_count}"
     each = Attempt(
         placed.id, placed.worker, placed.holder, placed.holder_incarnation, now_ms,
         rule=picked.rule, zone=placed.zone,
     )  # fmt: skip
     call = replace(
-        call, phase=Phase.TRYING, unsent=False, draws=call.draws + 1,
+        call, phase=Phase.TRYING, unsent=False, send_count=call.send_count + 1,
         attempts=call.attempts.set(attempt_id, each), next_ms=Ms(now_ms + hedge_delay_ms(call)),
     )  # fmt: skip
-    ask = call.ask
+    ask = call.request
     with_query = f"{ask.path}?{ask.query}" if ask.query else ask.path
     path = ask.target or with_query
     forward = Forward(
@@ -138,12 +138,12 @@
     )  # fmt: skip
     count = state.outstanding.get(placed.id, 0) + 1
     waits = state.waits
-    if picked.rule == STARTING_RULE and len(call.attempts) == call.draws == 1:
+    if picked.rule == STARTING_RULE and len(call.attempts) == call.send_count == 1:
         waits = waits.ended(Wait.PLACED, now_ms - call.start_ms)
     state = replace(
         store_call(state, call),
         waits=waits,
-        attempt_of=state.attempt_of.set(attempt_id, ask.slot.index),
+        slot_of_attempt=state.slot_of_attempt.set(attempt_id, ask.slot.index),
         outstanding=state.outstanding.set(placed.id, count),
     )
     return state, Send(NodeId(placed.holder), forward, placed.holder_address)
@@ -158,11 +158,12 @@
         state, effects = attempt_may_have_run(state, call, each, "lost: reset", now_ms)
     """
     call = replace(
-        call, maybe=True, why=why, failed=(*call.failed, each),
-        touched=call.touched | {each.instance},
+        call, may_have_run=True, reason=why, failed=(*call.failed, each),
+        tried_instances=call.tried_instances | {each.instance},
     )  # fmt: skip
     state = replace(
-        state, shunned_ms=avoid_instance(state.shunned_ms, each.instance, now_ms, AVOID_MS)
+        state,
+        avoided_until_ms=avoid_instance(state.avoided_until_ms, each.instance, now_ms, AVOID_MS),
     )
     return continue_call(store_call(state, call), call, now_ms)
 
@@ -175,13 +176,13 @@
     """
     if call.attempts:
         return store_call(state, call), ()
-    if call.gone_ms >= 0 or now_ms >= call.deadline_ms - END_MARGIN_MS:
+    if call.caller_gone_ms >= 0 or now_ms >= call.deadline_ms - END_MARGIN_MS:
         return end_call(state, call, now_ms)
-    if call.maybe:
-        if call.once or call.deadline_ms - now_ms < MIN_RESEND_MS:
+    if call.may_have_run:
+        if call.at_most_once or call.deadline_ms - now_ms < MIN_RESEND_MS:
             return answer_unknown(state, call, now_ms)
         return send_call(state, call, now_ms)
-    if call.touched:
+    if call.tried_instances:
         return send_call(state, call, now_ms)
     held = replace(call, phase=Phase.WAITING, next_ms=Ms(now_ms + PICK_RETRY_MS))
     return store_call(state, held), ()
@@ -195,19 +196,19 @@
     Example:
         state, effects = no_room_at_holder(state, call, now_ms)
     """
-    if call.touched:
+    if call.tried_instances:
         return continue_call(state, call, now_ms)
-    if call.turned_since_ms < 0:
-        call = replace(call, turned_since_ms=now_ms)
+    if call.no_room_since_ms < 0:
+        call = replace(call, no_room_since_ms=now_ms)
     service, left_ms = call.service.name, call.deadline_ms - now_ms
     backlog_ms = expected_wait_ms(state, service, now_ms)
-    if now_ms - call.turned_since_ms >= NO_ROOM_LIMIT_MS and not has_starting_instance(
+    if now_ms - call.no_room_since_ms >= NO_ROOM_LIMIT_MS and not has_starting_instance(
         state.tables, service
     ):
         backlog_ms = max(backlog_ms, left_ms)
     if backlog_ms > WAIT_SHARE * left_ms:
         why, back_s = queue_refusal(backlog_ms, left_ms)
-        return refuse(state, replace(call, back_s=back_s), Kind.NO_ROOM, why, now_ms)
+        return refuse(state, replace(call, retry_after_s=back_s), Kind.NO_ROOM, why, now_ms)
     held = replace(call, phase=Phase.WAITING, next_ms=Ms(now_ms + NO_ROOM_RETRY_MS))
     return store_call(state, held), ()
 
@@ -218,7 +219,7 @@
     Example:
         state, effects = answer_unknown(state, call, now_ms)
     """
-    why = call.why
+    why = call.reason
     kind = Kind.BAD_ANSWER if caused_by(why, Cause.BAD_ANSWER) else Kind.UNKNOWN
     if caused_by(why, Cause.LOST):
         kind = Kind.LOST
@@ -231,14 +232,14 @@
     Example:
         state, effects = refuse(state, call, now_ms)
     """
-    if call.maybe or call.attempts:
+    if call.may_have_run or call.attempts:
         return answer_unknown(state, call, now_ms)
     if (
-        call.ask.key
+        call.request.key
         and call.phase != Phase.FREEING
         and (call.claimed or call.phase == Phase.CLAIMING)
     ):
-        call = replace(call, phase=Phase.FREEING, why=f"{kind.name}|{why}", next_ms=now_ms)
+        call = replace(call, phase=Phase.FREEING, reason=f"{kind.name}|{why}", next_ms=now_ms)
         return send_claim_request(state, call, "free", now_ms)
     return answer_call(state, call, not_run_refusal(call, kind, why), now_ms)
 
@@ -254,13 +255,13 @@
             Send(NodeId(attempt.holder), ForwardDrop(attempt_id))
             for attempt_id, attempt in call.attempts.items()
         )
-        call = replace(call, why=call.why or "no answer within the wait")
+        call = replace(call, reason=call.reason or "no answer within the wait")
         state, effects = answer_unknown(state, call, now_ms)
         return state, (*drops, *effects)
-    if call.maybe:
+    if call.may_have_run:
         return answer_unknown(state, call, now_ms)
     kind = Kind.NO_CORE if call.phase == Phase.CLAIMING else Kind.NO_ROOM
-    return refuse(state, call, kind, call.why, now_ms)
+    return refuse(state, call, kind, call.reason, now_ms)
 
 
 def answer_call(
@@ -277,10 +278,14 @@
     effects: list[Effect] = []
     if call.claimed and call.phase != Phase.FREEING and state.registries:
         known = "may have run" if answer.status in (502, 504) else f"ended {answer.status}"
-        op_id = f"{call.ask.call_id}/end/{state.draws}"
+        op_id = f"{call.request.call_id}/end/{state.operation_count}"
         effects.append(Send(state.registries[0], claim_message(call, op_id, known, now_ms)))
-    state = replace(remove_call(state, call), answers=state.answers + 1, draws=state.draws + 1)
-    return state, (Reply(call.ask.slot, answer), *effects)
+    state = replace(
+        remove_call(state, call),
+        answer_count=state.answer_count + 1,
+        operation_count=state.operation_count + 1,
+    )
+    return state, (Reply(call.request.slot, answer), *effects)
 
 
 def count_outcome(
@@ -296,7 +301,7 @@
         waits = state.waits.ended(Wait.ANSWERED, now_ms - by.sent_ms)
         state = replace(state, waits=waits)
     if answer.kind is not None:
-        outcome, reason = refusal_reason(answer, call.why)
+        outcome, reason = refusal_reason(answer, call.reason)
         return replace(state, outcomes=state.outcomes.count(service, outcome, reason))
     if by is None or not is_late(call, now_ms):
         return state
@@ -326,5 +331,5 @@
     state, call, each = end_attempt(state, attempt_id)
     if call is None or each is None:
         return state, ()
-    call = replace(call, unsent=True, why=Cause.DOWN.said("its holder can't be reached"))
+    call = replace(call, unsent=True, reason=Cause.DOWN.said("its holder can't be reached"))
     return continue_call(state, call, now_ms)
--- a/spokeroute/exchange/claim_requests.py
+++ b/spokeroute/exchange/claim_requests.py
@@ -26,16 +26,19 @@
     Example:
         state, effects = send_claim_request(state, call, "claim", now_ms)
     """
-    op_id = f"{call.ask.call_id}/{to}/{state.draws}"
-    state = replace(state, draws=state.draws + 1)
-    asked = (*call.claim_asks, ClaimRequest(op_id, now_ms))
-    call = replace(call, claim_asks=asked, claim_tries=call.claim_tries + 1)
-    state = replace(store_call(state, call), op_of=state.op_of.set(op_id, call.ask.slot.index))
+    op_id = f"{call.request.call_id}/{to}/{state.operation_count}"
+    state = replace(state, operation_count=state.operation_count + 1)
+    asked = (*call.claim_requests, ClaimRequest(op_id, now_ms))
+    call = replace(call, claim_requests=asked, claim_request_count=call.claim_request_count + 1)
+    state = replace(
+        store_call(state, call),
+        slot_of_claim=state.slot_of_claim.set(op_id, call.request.slot.index),
+    )
     registries = state.registries
     if not registries:
         return state, ()
-    first = sum(call.ask.call_id.encode())  # each ask goes to the next registry
-    node = registries[(first + call.claim_tries) % len(registries)]
+    first = sum(call.request.call_id.encode())  # each ask goes to the next registry
+    node = registries[(first + call.claim_request_count) % len(registries)]
     return state, (Send(node, claim_message(call, op_id, to, now_ms)),)
 
 
@@ -45,10 +48,10 @@
     Example:
         retry_due(state, call, now_ms)
     """
-    if not call.claim_asks:
+    if not call.claim_requests:
         return True
-    waited_ms = now_ms - call.claim_asks[-1].asked_ms
-    return waited_ms >= retry_after_ms(state.claim_trip, call.claim_tries)
+    waited_ms = now_ms - call.claim_requests[-1].sent_ms
+    return waited_ms >= retry_after_ms(state.claim_round_trip, call.claim_request_count)
 
 
 def retry_after_ms(trip: RoundTrip | None, tries: int) -> float:
@@ -71,24 +74,24 @@
     Example:
         state, call = claim_answered(state, got, now_ms)
     """
-    call = state.calls.get(state.op_of.get(got.op_id, -1))
+    call = state.calls.get(state.slot_of_claim.get(got.op_id, -1))
     if call is None:
         return state, None
-    state = replace(state, op_of=state.op_of.delete(got.op_id))
-    asked = next((each for each in call.claim_asks if each.op_id == got.op_id), None)
+    state = replace(state, slot_of_claim=state.slot_of_claim.delete(got.op_id))
+    asked = next((each for each in call.claim_requests if each.op_id == got.op_id), None)
     if asked is None:
         return state, None
     if not got.reason:
-        state = _record_round_trip(state, float(now_ms - asked.asked_ms))
-    is_last = asked is call.claim_asks[-1]
-    left = tuple(each for each in call.claim_asks if each is not asked)
-    call = replace(call, claim_asks=left)
+        state = _record_round_trip(state, float(now_ms - asked.sent_ms))
+    is_last = asked is call.claim_requests[-1]
+    left = tuple(each for each in call.claim_requests if each is not asked)
+    call = replace(call, claim_requests=left)
     state = store_call(state, call)
     counts = is_last or (call.phase == Phase.CLAIMING and got.won)
     return state, call if counts else None
 
 
 def _record_round_trip(state: State, took_ms: float) -> State:
-    trip = state.claim_trip
+    trip = state.claim_round_trip
     sampled = trip.sampled(took_ms) if trip is not None else RoundTrip.first(took_ms)
-    return replace(state, claim_trip=sampled)
+    return replace(state, claim_round_trip=sampled)
--- a/spokeroute/exchange/lost_holders.py
+++ b/spokeroute/exchange/lost_holders.py
@@ -77,7 +77,7 @@
     effects.extend(Unreached(node) for node in silent)
     for call in calls:
         for attempt_id, each in call.attempts.items():
-            if each.holder in silent and not call.once:
+            if each.holder in silent and not call.at_most_once:
                 state, more = lose_attempt(
                     state, attempt_id, Cause.LOST.said("its holder is silent"), now_ms
                 )
--- a/spokeroute/exchange/open_calls.py
+++ b/spokeroute/exchange/open_calls.py
@@ -22,5 +22,5 @@
     """A request that came before this process's first proof, and until when it may wait."""
 
     connection: Connection
-    came_ms: int
+    received_ms: int
     until_ms: int
--- a/spokeroute/exchange/outcomes.py
+++ b/spokeroute/exchange/outcomes.py
@@ -144,16 +144,16 @@
     Example:
         late_reason(call, attempt, far=False, now_ms=Ms(900)) == Reason.BOOT
     """
-    took_ms = now_ms - call.start_ms + call.ask.waited_ms
-    if call.touched or call.resend:
+    took_ms = now_ms - call.start_ms + call.request.waited_ms
+    if call.tried_instances or call.was_refused:
         return Reason.RETRY
-    if 2 * call.ask.waited_ms >= took_ms:
+    if 2 * call.request.waited_ms >= took_ms:
         return Reason.ENTRY_BUSY
     if by.rule == STARTING_RULE:
         return Reason.BOOT
     if 2 * (by.sent_ms - call.start_ms) >= took_ms:
         return Reason.CLAIM if call.claimed else Reason.PLACEMENT
-    if by.queued or call.draws > 1:
+    if by.queued or call.send_count > 1:
         return Reason.QUEUE
     return Reason.FAR if far else Reason.SLOW_RUN
 
@@ -181,4 +181,4 @@
         is_late(call, Ms(900))
     """
     aim_ms = call.route.aim_ms
-    return aim_ms > 0 and now_ms - call.start_ms + call.ask.waited_ms > aim_ms
+    return aim_ms > 0 and now_ms - call.start_ms + call.request.waited_ms > aim_ms
--- a/spokeroute/exchange/requeue.py
+++ b/spokeroute/exchange/requeue.py
@@ -34,13 +34,13 @@
     Example:
         state = mark_queued(state, "c1.0", now_ms)
     """
-    call = state.calls.get(state.attempt_of.get(attempt_id, -1))
+    call = state.calls.get(state.slot_of_attempt.get(attempt_id, -1))
     if call is None or attempt_id not in call.attempts:
         return state
     each = replace(call.attempts[attempt_id], queued=True)
     call = replace(call, attempts=call.attempts.set(attempt_id, each))
-    report_ms = min(state.report_ms, Ms(now_ms + URGENT_REPORT_MS))
-    return store_call(replace(state, report_ms=report_ms), call)
+    report_ms = min(state.next_report_ms, Ms(now_ms + URGENT_REPORT_MS))
+    return store_call(replace(state, next_report_ms=report_ms), call)
 
 
 def request_room(state: State, now_ms: Ms) -> tuple[State, Effects]:
@@ -83,8 +83,8 @@
     here.sort(key=lambda found: (found[0].rank, found[0].start_ms, found[1]))
     effects: list[Effect] = []
     for call, attempt_id, each in here[:free]:
-        asked = call.attempts.set(attempt_id, replace(each, asked_back=True))
-        state = store_call(state, replace(call, attempts=asked, bound_for=instance))
+        asked = call.attempts.set(attempt_id, replace(each, recalled=True))
+        state = store_call(state, replace(call, attempts=asked, requeue_target=instance))
         effects.append(Send(each.holder, ForwardDrop(attempt_id, queued_only=True)))
     return state, tuple(effects)
 
@@ -92,10 +92,10 @@
 def _queued(state: State) -> Iterator[tuple[Call, str, Attempt]]:
     """Calls whose only attempt is known to wait, and was not asked back."""
     for call in state.calls.values():
-        if call.touched or call.gone_ms >= 0 or len(call.attempts) != 1:
+        if call.tried_instances or call.caller_gone_ms >= 0 or len(call.attempts) != 1:
             continue
         attempt_id, each = next(iter(call.attempts.items()))
-        if each.queued and not each.asked_back:
+        if each.queued and not each.recalled:
             yield call, attempt_id, each
 
 
@@ -109,6 +109,6 @@
         if ((placed.routed and usable(placed, state.tables)) or soon_usable(placed, state.tables))
         and not lost(placed)
         and state.outstanding.get(placed.id, 0) < placed.limit
-        and state.shunned_ms.get(placed.id, -1) <= now_ms
+        and state.avoided_until_ms.get(placed.id, -1) <= now_ms
     ]
     return sorted(found, key=lambda placed: zlib.crc32(f"{state.me}/{placed.id}/{now_ms}".encode()))
--- a/spokeroute/exchange/resend.py
+++ b/spokeroute/exchange/resend.py
@@ -27,8 +27,8 @@
     Example:
         resend_reason(call) is ResendReason.NOT_RUN
     """
-    if call.maybe or call.attempts:
-        return None if call.once else ResendReason.REPEATABLE
+    if call.may_have_run or call.attempts:
+        return None if call.at_most_once else ResendReason.REPEATABLE
     return ResendReason.NEVER_SENT if call.unsent else ResendReason.NOT_RUN
 
 
@@ -41,6 +41,9 @@
         resends, note = count_resend(resends, call, ResendReason.NOT_RUN, "i1")
     """
     count = resends.get(why, 0) + 1
-    last = f" ({call.why})" if call.why else ""
-    text = f"send {call.draws + 1} of {call.ask.call_id} to {instance}: {why.value}{last}; {count}"
+    last = f" ({call.reason})" if call.reason else ""
+    text = (
+        f"send {call.send_count + 1} of {call.request.call_id} to {instance}: "
+        f"{why.value}{last}; {count}"
+    )
     return resends.set(why, count), Note(text)
--- a/spokeroute/exchange/told.py
+++ b/spokeroute/exchange/told.py
@@ -18,7 +18,7 @@
     held: holder.State = process.actors["holder"].state
     return Figures(
         calls.outcomes.total,
-        {"spokeroute_cold_start_wait_seconds": calls.waits.by},
+        {"spokeroute_cold_start_wait_seconds": calls.waits.histograms},
         {
             "spokeroute_open_calls": len(calls.calls),
             "spokeroute_held_instances": len(held.instances),
--- a/spokeroute/exchange/unheld.py
+++ b/spokeroute/exchange/unheld.py
@@ -26,16 +26,16 @@
         for placed in instances_for(call, tables, state.places)
         if (placed.holder == "" or lost(placed))
         and usable(replace(placed, holder=state.me), tables)
-        and placed.id not in call.touched
-        and state.shunned_ms.get(placed.id, -1) <= now_ms
-        and state.drains_ms.get(placed.id, -1) <= now_ms
+        and placed.id not in call.tried_instances
+        and state.avoided_until_ms.get(placed.id, -1) <= now_ms
+        and state.draining_until_ms.get(placed.id, -1) <= now_ms
         and state.outstanding.get(placed.id, 0) < 1
     ]
     if not free:
         return None
 
     def by_distance_then_spread(placed: Placed) -> tuple[int, int]:
-        spread = zlib.crc32(f"{call.ask.call_id}/{placed.id}".encode())
+        spread = zlib.crc32(f"{call.request.call_id}/{placed.id}".encode())
         return state.places.distance(placed.zone), spread
 
     best = min(free, key=by_distance_then_spread)
--- a/spokeroute/exchange/waits.py
+++ b/spokeroute/exchange/waits.py
@@ -24,14 +24,14 @@
 class Waits:
     """The histogram of each."""
 
-    by: Map[str, Histogram] = field(default_factory=Map)
+    histograms: Map[str, Histogram] = field(default_factory=Map)
 
     def ended(self, wait: Wait, took_ms: int) -> Waits:
         """One more wait is over.
 
         Example:
-            >>> Waits().ended(Wait.PLACED, 80).by["placed"].sum_ms
+            >>> Waits().ended(Wait.PLACED, 80).histograms["placed"].sum_ms
             80
         """
-        histogram = self.by.get(wait.value, Histogram()).with_time(max(0, took_ms))
-        return replace(self, by=self.by.set(wait.value, histogram))
+        histogram = self.histograms.get(wait.value, Histogram()).with_time(max(0, took_ms))
+        return replace(self, histograms=self.histograms.set(wait.value, histogram))
--- a/spokeroute/exchange/withdrawal.py
+++ b/spokeroute/exchange/withdrawal.py
@@ -25,7 +25,7 @@
     table = state.tables.table
     if table is None:
         return None
-    found = tenant_of(table, call.route, call.ask.credential)
+    found = tenant_of(table, call.route, call.request.credential)
     if found is None:
         return Kind.NO_KEY
     return None if found.name == call.tenant else Kind.NOT_FRESH
--- a/tests/calls_made.py
+++ b/tests/calls_made.py
@@ -16,5 +16,5 @@
     each = Attempt(InstanceId("i"), WorkerId("w"), NodeId(holder), Incarnation(1), sent_ms)
     return Call(
         ask, Route("/x", "s"), Service("s", 128, 4), sent_ms, Ms(sent_ms + 5_000), Phase.TRYING,
-        Ms(sent_ms + 5_000), once=False, attempts=Map({"c1.0": each}),
+        Ms(sent_ms + 5_000), at_most_once=False, attempts=Map({"c1.0": each}),
     )  # fmt: skip
--- a/tests/door.py
+++ b/tests/door.py
@@ -68,7 +68,7 @@
         return None, (Reply(event.slot, answer),) if answer else ()
 
     def over(self) -> bool:
-        return self.ended or (self.front.done() and self.front.parted())
+        return self.ended or (self.front.drained() and self.front.close_listeners())
 
     def post(self, event: object) -> None:
         self.process.post("calls", event)
@@ -87,7 +87,7 @@
 
     def stop(self) -> None:
         """What SIGTERM does."""
-        self.front.leave()
+        self.front.begin_shutdown()
         self.loop.stop()
 
     def close(self) -> None:
--- a/tests/sends_model.py
+++ b/tests/sends_model.py
@@ -150,7 +150,7 @@
         by_id = {f"i{n}": placed(n, self.named[HOLDERS[n % 2]]) for n in range(4)}
         floor = replace(Tables().floor, instances=tuple(by_id.values()))
         by_service = Map({"s": floor.instances})
-        return Tables(self.now_ms, TABLE, floor, by_service, Map(by_id), rule_ms=FOREVER_MS)
+        return Tables(self.now_ms, TABLE, floor, by_service, Map(by_id), proof_valid_ms=FOREVER_MS)
 
     def floor(self) -> None:
         self.named = dict(self.lives)
--- a/tests/test_given_up.py
+++ b/tests/test_given_up.py
@@ -44,8 +44,8 @@
     sim.call("/small/1", sim.exchanges[0])
     for _ in range(2_000):
         state: State = sim.exchanges[0].state("calls")
-        if state.attempt_of:
-            return alone(state), next(iter(state.attempt_of))
+        if state.slot_of_attempt:
+            return alone(state), next(iter(state.slot_of_attempt))
         sim.run(1)
     raise AssertionError("the call was never sent")
 
@@ -66,7 +66,7 @@
     sim: Sim, reason: str
 ) -> None:
     state, attempt_id = sent(sim)
-    now_ms = Ms(state.report_ms - 100)  # a report's turn is half over
+    now_ms = Ms(state.next_report_ms - 100)  # a report's turn is half over
     state, reports = told(state, attempt_id, reason, now_ms)
     assert reports == 1
     assert not has_available_instance(state, RARE, now_ms)
@@ -74,7 +74,7 @@
 
 def test_a_call_that_found_no_room_is_not(sim: Sim) -> None:
     state, attempt_id = sent(sim)
-    now_ms = Ms(state.report_ms - 100)
+    now_ms = Ms(state.next_report_ms - 100)
     state, reports = told(state, attempt_id, NO_ROOM_IN_TIME, now_ms)
     assert reports == 0
     assert has_available_instance(state, RARE, now_ms)
@@ -83,7 +83,7 @@
 def test_nobody_else_sends_to_an_instance_that_drains(sim: Sim) -> None:
     """One that is only held by nobody may be sent to unheld; one that drains refuses."""
     state, attempt_id = sent(sim)
-    now_ms = Ms(state.report_ms - 100)
+    now_ms = Ms(state.next_report_ms - 100)
     instance = next(iter(state.calls.values())).attempts[attempt_id].instance
     placed = state.tables.by_id[instance]
     later_ms = Ms(now_ms + 900)  # its leave from failed sends is over
--- a/tests/test_guests.py
+++ b/tests/test_guests.py
@@ -136,11 +136,13 @@
     )
     tables = Tables(
         Ms(11_000), table, by_service=Map({"s": (placed,)}), by_id=Map({"i": placed}),
-        rule_ms=20_000,
+        proof_valid_ms=20_000,
     )  # fmt: skip
     state = call_state.State(NodeId("ex1"), 1, Budget(0), tables)
     state = replace(
-        call_state.store_call(state, call), attempt_of=Map({"c1.0": 1}), outstanding=Map({"i": 1})
+        call_state.store_call(state, call),
+        slot_of_attempt=Map({"c1.0": 1}),
+        outstanding=Map({"i": 1}),
     )
     no = Forwarded("c1.0", "no", "refused: the instance said 503, not run", 503, (), b"")
     state, effects = calls.step(state, From(NodeId("ex1"), Incarnation(1), no), Ms(11_010))
@@ -148,7 +150,7 @@
     state, effects = calls.step(state, Tick(), Ms(12_100))
     sent = [e.message for e in effects if isinstance(e, Send)]
     assert [m.instance for m in sent if isinstance(m, Forward)] == ["i"]
-    assert state.budget.seconds.total("s", 12_100, 1) == 1
+    assert state.budget.resends.total("s", 12_100, 1) == 1
 
 
 def test_a_holder_that_has_not_read_the_newest_floor_is_none_that_is_gone() -> None:
--- a/tests/test_judges.py
+++ b/tests/test_judges.py
@@ -43,7 +43,7 @@
     monkeypatch.setattr(replica, "LEASE_MS", 10**9)
     monkeypatch.setattr(holder, "FRESH_MARGIN_MS", -(10**9))
     monkeypatch.setattr(types.Tables, "fresh", lambda self, now_ms: self.table is not None)
-    monkeypatch.setattr(types.Tables, "knows_routes", lambda tables, now_ms: True)
+    monkeypatch.setattr(types.Tables, "routes_current", lambda tables, now_ms: True)
 
 
 def test_once_never_twice_speaks(sim: Sim) -> None:
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -121,7 +121,7 @@
     door = doors(grace_ms=1_400)
     door.is_ready = False
     caller = Caller(door.address).send(GET)
-    until(lambda: bool(door.front.early))
+    until(lambda: bool(door.front.early_requests))
     door.stop()
     status, _, body = caller.answer()
     assert status == 503 and b'"ran": "no"' in body
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -56,7 +56,7 @@
 
 
 def waited(made: Call, waited_ms: int) -> Call:
-    return replace(made, ask=replace(made.ask, waited_ms=waited_ms))
+    return replace(made, request=replace(made.request, waited_ms=waited_ms))
 
 
 LATE = [
@@ -64,9 +64,9 @@
     (call(), attempt(1_600), False, Reason.PLACEMENT),
     (call(claimed=True), attempt(1_600), False, Reason.CLAIM),
     (call(), attempt(1_100, queued=True), False, Reason.QUEUE),
-    (call(draws=2), attempt(1_100), False, Reason.QUEUE),
-    (call(touched=frozenset({"j"})), attempt(1_100, "starting"), False, Reason.RETRY),
-    (call(resend=True), attempt(), False, Reason.RETRY),
+    (call(send_count=2), attempt(1_100), False, Reason.QUEUE),
+    (call(tried_instances=frozenset({"j"})), attempt(1_100, "starting"), False, Reason.RETRY),
+    (call(was_refused=True), attempt(), False, Reason.RETRY),
     (waited(call(), 1_500), attempt(), False, Reason.ENTRY_BUSY),
     (call(), attempt(), True, Reason.FAR),
     (call(), attempt(), False, Reason.SLOW_RUN),
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -43,8 +43,8 @@
     route, service = Route("/x", "s"), Service("s", 128, 4)
     row: list[Any] = [instance, worker, "ex1", 1, Ms(0)]
     each = Attempt(*row)
-    call = Call(ASK, route, service, Ms(0), Ms(5_000), Phase.WAITING, Ms(0), once=False)
-    return replace(call, failed=(each,), touched=frozenset((instance,)), maybe=True)
+    call = Call(ASK, route, service, Ms(0), Ms(5_000), Phase.WAITING, Ms(0), at_most_once=False)
+    return replace(call, failed=(each,), tried_instances=frozenset((instance,)), may_have_run=True)
 
 
 def tables(*instances: Placed, evacuated: frozenset[str] = frozenset()) -> Tables:
@@ -89,10 +89,10 @@
     budget = Budget(0)
     now_ms = WINDOW_MS + 1
     for _ in range(100):
-        budget = budget.first("s", now_ms)
+        budget = budget.count_first("s", now_ms)
     sent = 0
     while budget.allows("s", now_ms):
-        budget = budget.second("s", now_ms)
+        budget = budget.count_resend("s", now_ms)
         sent += 1
     assert sent == 20 + 3
     assert not budget.allows("s", now_ms + WINDOW_MS // 2)
@@ -108,7 +108,7 @@
     for _ in range(count):
         budget = Budget(0, 0.2, 58.0, count)
         while budget.allows("s", now_ms):
-            budget = budget.second("s", now_ms)
+            budget = budget.count_resend("s", now_ms)
             total += 1
     assert total <= 58
 
--- a/tests/test_pressed.py
+++ b/tests/test_pressed.py
@@ -30,7 +30,7 @@
     assert reports(effects) == 0
     state, effects = calls.step(state, Tick(), Ms(1_020))
     assert reports(effects) == 1
-    assert state.pressed_ms == NO_URGENT_REPORT
+    assert state.urgent_report_ms == NO_URGENT_REPORT
     assert reports(calls.step(state, Tick(), Ms(1_060))[1]) == 0
 
 
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -52,8 +52,8 @@
     call: Call, *instances: Placed, outstanding: Map[str, int] = ONE
 ) -> call_state.State:
     tables = Tables(by_service=Map({"s": instances}), by_id=Map({p.id: p for p in instances}))
-    attempt_of = Map({name: call.ask.slot.index for name in call.attempts})
-    state = call_state.State(ENTRY, 1, Budget(0), tables=tables, attempt_of=attempt_of)
+    attempt_of = Map({name: call.request.slot.index for name in call.attempts})
+    state = call_state.State(ENTRY, 1, Budget(0), tables=tables, slot_of_attempt=attempt_of)
     return call_state.store_call(replace(state, outstanding=outstanding), call)
 
 
@@ -149,13 +149,13 @@
     assert requeue.recall_queued(state, "i", 1) == (state, ())
     asked, effects = calls.step(state, From(HOLDER, Incarnation(1), RoomTold("other", 1)), at_ms)
     assert effects == (Send(HOLDER, ForwardDrop("c1.0", queued_only=True)),)
-    assert asked.calls[1].bound_for == "other"
+    assert asked.calls[1].requeue_target == "other"
     assert requeue.recall_queued(asked, "other", 1) == (asked, ())
 
 
 def test_a_call_that_left_a_queue_goes_to_the_room_and_costs_no_second_send() -> None:
     call = call_to(HOLDER, sent_ms=Ms(0), slot=SlotId(1, 1))
-    call = replace(call, draws=1, bound_for="other")
+    call = replace(call, send_count=1, requeue_target="other")
     state = entry_with(call, placed("i"), placed("other"))
     table = Table(Version(1), "", {}, {}, Thresholds(), Programs())
     state = replace(state, tables=replace(state.tables, proved_ms=Ms(300), table=table))
@@ -165,7 +165,7 @@
     assert isinstance(sent, Send) and isinstance(sent.message, Forward)
     assert sent.message.instance == "other"
     moved = after.calls[1]
-    assert (moved.touched, moved.failed, moved.resend) == (frozenset(), (), False)
+    assert (moved.tried_instances, moved.failed, moved.was_refused) == (frozenset(), (), False)
     assert after.budget == Budget(0)
 
 
@@ -191,11 +191,11 @@
     for _ in range(MIN_QUEUE_CALLS):
         backlog = backlog.opened("s", Ms(1_000))
     assert backlog.count("s") == MIN_QUEUE_CALLS
-    assert backlog.expect_ms("s", 1.0, Ms(1_000 + MIN_QUEUE_MS - 1)) == 0
-    assert backlog.expect_ms("s", 1.0, Ms(1_000 + MIN_QUEUE_MS)) == MIN_QUEUE_CALLS * 2_000
-    assert backlog.expect_ms("s", 2.0, Ms(1_000 + MIN_QUEUE_MS)) == MIN_QUEUE_CALLS * 1_000
+    assert backlog.expected_wait_ms("s", 1.0, Ms(1_000 + MIN_QUEUE_MS - 1)) == 0
+    assert backlog.expected_wait_ms("s", 1.0, Ms(1_000 + MIN_QUEUE_MS)) == MIN_QUEUE_CALLS * 2_000
+    assert backlog.expected_wait_ms("s", 2.0, Ms(1_000 + MIN_QUEUE_MS)) == MIN_QUEUE_CALLS * 1_000
     fewer = backlog.closed("s")
-    assert fewer.expect_ms("s", 1.0, Ms(1_000 + MIN_QUEUE_MS)) == 0
+    assert fewer.expected_wait_ms("s", 1.0, Ms(1_000 + MIN_QUEUE_MS)) == 0
     for _ in range(MIN_QUEUE_CALLS):
         fewer = fewer.closed("s")
     assert fewer.count("s") == 0
--- a/tests/test_rank.py
+++ b/tests/test_rank.py
@@ -90,7 +90,9 @@
     queue = tuple(waiting(f"c{at}", 5, 0) for at in range(most))
     running = Map({"runs": Handed("runs", ENTRY, Ms(0))})
     instance = HeldInstance(PLACED, queue=queue, handed=running)
-    tables = Tables(proved_ms=Ms(0), table=ANY_TABLE, rule_ms=LONG_MS, by_id=Map({"i": PLACED}))
+    tables = Tables(
+        proved_ms=Ms(0), table=ANY_TABLE, proof_valid_ms=LONG_MS, by_id=Map({"i": PLACED})
+    )
     ready = holder.State(HOLDER, 1, tables, Map({"i": instance}))
     for rank in (0, 9):
         event = From(ENTRY, Incarnation(1), forward("new", rank))
--- a/tests/test_second_sends.py
+++ b/tests/test_second_sends.py
@@ -51,7 +51,7 @@
     """The entry takes an answer by the attempt's id alone, from whichever life of the holder."""
 
     def believed(state: call_state.State, attempt_id: str, sender: object) -> bool | None:
-        return True if attempt_id in state.attempt_of else None
+        return True if attempt_id in state.slot_of_attempt else None
 
     patch.setattr(calls, "is_conclusive", believed)
     return Sends
@@ -183,15 +183,15 @@
 
 def test_a_second_send_says_why_it_is_allowed() -> None:
     tried = call_to("ex2", Ms(0), SlotId(0, 1))
-    over = replace(tried, attempts=Map(), draws=1)
-    once = replace(over, once=True)
+    over = replace(tried, attempts=Map(), send_count=1)
+    once = replace(over, at_most_once=True)
     assert resend_reason(tried) is ResendReason.REPEATABLE  # a second one beside the first
-    assert resend_reason(replace(over, maybe=True)) is ResendReason.REPEATABLE
+    assert resend_reason(replace(over, may_have_run=True)) is ResendReason.REPEATABLE
     assert resend_reason(once) is ResendReason.NOT_RUN
     assert resend_reason(replace(once, unsent=True)) is ResendReason.NEVER_SENT
-    assert resend_reason(replace(once, maybe=True)) is None
-    assert resend_reason(replace(tried, once=True)) is None
-    why = replace(over, why="refused: the instance said 503, not run")
+    assert resend_reason(replace(once, may_have_run=True)) is None
+    assert resend_reason(replace(tried, at_most_once=True)) is None
+    why = replace(over, reason="refused: the instance said 503, not run")
     counts, note = count_resend(Map(), why, ResendReason.NOT_RUN, "i2")
     counts, note = count_resend(counts, why, ResendReason.NOT_RUN, "i2")
     assert counts[ResendReason.NOT_RUN] == 2 and isinstance(note, Note) and not note.alarm
--- a/tests/test_slow_claims.py
+++ b/tests/test_slow_claims.py
@@ -66,7 +66,7 @@
     sim.call("/corrections", sim.exchanges[0], key="k", wait_ms=20_000)
     for _ in range(100):
         state: State = sim.exchanges[0].state("calls")
-        if any(call.claim_asks for call in state.calls.values()):
+        if any(call.claim_requests for call in state.calls.values()):
             return state
         sim.run(1)
     raise AssertionError("no claim was asked for")
@@ -107,10 +107,10 @@
     state, _ = waited(claiming(sim), 1_000)
     call = only(state)
     now_ms = Ms(call.start_ms + 1_000)
-    assert len(call.claim_asks) == 3
-    state, effects = told(state, call.claim_asks[0].op_id, True, call.ask.call_id, now_ms)
+    assert len(call.claim_requests) == 3
+    state, effects = told(state, call.claim_requests[0].op_id, True, call.request.call_id, now_ms)
     assert only(state).claimed and only(state).phase != Phase.CLAIMING
-    assert not state.op_of, "what was asked besides is forgotten"
+    assert not state.slot_of_claim, "what was asked besides is forgotten"
     assert not any(isinstance(each, Reply) for each in effects)
 
 
@@ -119,30 +119,32 @@
     state, _ = waited(claiming(sim), 400)
     call = only(state)
     now_ms = Ms(call.start_ms + 400)
-    first, last = call.claim_asks
+    first, last = call.claim_requests
     state, effects = told(state, first.op_id, False, "another", now_ms)
     assert only(state).phase == Phase.CLAIMING
     assert not effects
     state, effects = told(state, last.op_id, False, "another", now_ms)
     (reply,) = [each for each in effects if isinstance(each, Reply)]
     assert reply.answer.status == 409
-    assert not state.calls and not state.op_of
+    assert not state.calls and not state.slot_of_claim
 
 
 def test_the_next_ask_waits_for_as_long_as_claims_took_lately(sim: Sim) -> None:
     state, _ = waited(claiming(sim), 1_000)
     call = only(state)
     state, _ = told(
-        state, call.claim_asks[0].op_id, True, call.ask.call_id, Ms(call.start_ms + 1_000)
+        state, call.claim_requests[0].op_id, True, call.request.call_id, Ms(call.start_ms + 1_000)
     )
-    assert state.claim_trip is not None
-    assert state.claim_trip.smoothed_ms == 1_000
+    assert state.claim_round_trip is not None
+    assert state.claim_round_trip.smoothed_ms == 1_000
 
 
 def test_calls_that_wait_for_their_claims_are_no_line_at_an_instance(sim: Sim) -> None:
     state = claiming(sim)
     service = only(state).service.name
-    assert state.backlog.open[service].in_line == 0
+    assert state.backlog.open[service].admitted == 0
     call = only(state)
-    state, _ = told(state, call.claim_asks[0].op_id, True, call.ask.call_id, Ms(call.start_ms + 20))
-    assert state.backlog.open[service].in_line == state.backlog.count(service) == 1
+    state, _ = told(
+        state, call.claim_requests[0].op_id, True, call.request.call_id, Ms(call.start_ms + 20)
+    )
+    assert state.backlog.open[service].admitted == state.backlog.count(service) == 1
--- a/tests/test_switches.py
+++ b/tests/test_switches.py
@@ -148,7 +148,7 @@
         apply_lists(off, NodeId("m1"), lists, Ms(0))[0],
     )
     assert told.budget.allows("s", long_ms)
-    assert not untold.budget.first("s", long_ms).allows("s", long_ms)
+    assert not untold.budget.count_first("s", long_ms).allows("s", long_ms)
     assert apply_lists(on, NodeId("m1"), lists, Ms(0))[0].lists.of("s", "w") == ("a",)
     assert apply_lists(off, NodeId("m1"), lists, Ms(0))[0].lists.of("s", "w") is None
     assert expected_wait_ms(built(Switches(early_refusal=False)), "s", Ms(0)) == 0
