--- a/spokeroute/exchange/authentication.py
+++ b/spokeroute/exchange/authentication.py
@@ -1,7 +1,7 @@
-"""In whose name a call runs: decided where it enters, and again before each of its sends.
+"""The tenant of a call: determined when it enters, and again before each attempt.
 
-A call may wait for seconds, and its key may be withdrawn meanwhile. The node that it entered at
-decides, each time by its newest tables; the one that holds the instance passes on what it was told.
+A call may wait for seconds, and its API key may be withdrawn in that time. The entry node decides,
+each time by its newest tables; the holder of the instance passes on the tenant that it was given.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 from spokeroute.transport.call_messages import Pairs
 
 ANONYMOUS = Tenant("")
-"""Whose name a call has that needs none: its route is public, or no configuration names tenants."""
+"""The tenant of calls that need none: the route is public, or the configuration has no tenants."""
 CHALLENGE = (("WWW-Authenticate", "Bearer"),)
 
 
 def tenant_of(table: Table, route: Route, credential: Pairs) -> Tenant | None:
-    """The tenant in whose name a call runs; None where it needs one and shows no key of any.
+    """The tenant of a call; None if it needs one and has no valid key.
 
     Example:
         tenant_of(table, route, (("Authorization", "Bearer k1"),))
@@ -27,12 +27,12 @@
 
 
 def headers_for_instance(table: Table | None, headers: Pairs, credential: Pairs) -> Pairs:
-    """The headers that an instance is shown. A credential is between the caller and the instance
-    where no configuration has tenants, and only there.
+    """The headers that are sent to an instance. The credential is passed on only if the
+    configuration has no tenants: it is then meant for the instance.
 
     Example:
         >>> headers_for_instance(None, (("A", "1"),), (("Authorization", "Bearer k1"),))
         (('A', '1'),)
     """
-    between_them = table is not None and table.tenants is None
-    return (*headers, *credential) if between_them else headers
+    meant_for_instance = table is not None and table.tenants is None
+    return (*headers, *credential) if meant_for_instance else headers
--- a/spokeroute/exchange/backlog.py
+++ b/spokeroute/exchange/backlog.py
@@ -1,6 +1,6 @@
-"""How many calls of each service are open at an entry, and how long a new one would wait.
+"""How many calls of each service are open at an entry node, and how long a new one would wait.
 
-Kept with each call that comes and goes, so that nothing walks all open calls for a new one.
+Updated with each call that starts and ends, so that a new call needs no walk over all open calls.
 """
 
 from __future__ import annotations
@@ -15,21 +15,21 @@
 
 RATE_BUCKET_MS = 500
 RATE_BUCKETS = 4
-MIN_QUEUE_CALLS = 8  # fewer calls than these, or for a shorter time, are no backlog to reckon with
+MIN_QUEUE_CALLS = 8  # with fewer calls, or for a shorter time, no wait is estimated
 MIN_QUEUE_MS = 500
 
 
 @dataclass(frozen=True, slots=True)
 class OpenCalls:
-    """The open calls of one service, and since when as many as make a crowd were in line."""
+    """The open calls of one service, and since when enough are admitted to estimate a wait."""
 
     count: int = 0
-    claiming: int = 0  # of them: they wait for the core, and not for an instance yet
+    claiming: int = 0  # of them, those that wait for the core and not for an instance yet
     queue_since_ms: Ms = Ms(-1)
 
     @property
     def admitted(self) -> int:
-        """How many wait for an instance, or run there.
+        """How many calls wait for an instance, or are sent to one.
 
         Example:
             >>> OpenCalls(count=3, claiming=2).admitted
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Backlog:
-    """Open calls by service, and how many were answered lately."""
+    """The open calls by service, and the counts of recent answers."""
 
     open: Map[str, OpenCalls] = field(default_factory=Map)
     answered_counts: Counts = field(
@@ -48,7 +48,7 @@
     )
 
     def opened(self, service: str, now_ms: Ms, claiming: bool = False) -> Backlog:
-        """One more call is open, in line at once or once its claim is won.
+        """Count a call that was opened; it is admitted at once, or when its claim is won.
 
         Example:
             >>> Backlog().opened("s", Ms(0)).count("s")
@@ -59,7 +59,7 @@
         return self._updated(service, old, new, now_ms)
 
     def claimed(self, service: str, now_ms: Ms) -> Backlog:
-        """A call won its claim: it is in line now.
+        """Count a call as admitted, as its claim was won.
 
         Example:
             >>> Backlog().opened("s", Ms(0), True).claimed("s", Ms(5)).open["s"].admitted
@@ -69,7 +69,7 @@
         return self._updated(service, old, replace(old, claiming=old.claiming - 1), now_ms)
 
     def closed(self, service: str, claiming: bool = False) -> Backlog:
-        """One call got its answer, whichever; it was in line, or still claiming.
+        """Remove a call that was answered; it was admitted, or still claiming.
 
         Example:
             >>> Backlog().opened("s", Ms(0)).closed("s").count("s")
@@ -87,7 +87,7 @@
         return replace(self, open=self.open.set(service, new))
 
     def answered(self, service: str, now_ms: Ms) -> Backlog:
-        """An instance answered a call of the service.
+        """Count an answer of an instance.
 
         Example:
             >>> Backlog().answered("s", Ms(0)).answered_counts.total("s", 0, 1)
@@ -105,18 +105,18 @@
         return self.open.get(service, OpenCalls()).count
 
     def expected_wait_ms(self, service: str, growth: float, now_ms: Ms) -> int:
-        """How long a new call would wait: the crowd that is open, at the pace of the last seconds
-        times the growth that is on its way; 0 where nothing can be told.
+        """How long a new call would wait: the admitted calls at the recent rate of answers, times
+        the growth of the service by starting instances; 0 if there is no estimate.
 
         Example:
             >>> Backlog().expected_wait_ms("s", 1.0, Ms(0))
             0
         """
-        here = self.open.get(service, OpenCalls())
-        if here.admitted < MIN_QUEUE_CALLS or now_ms - here.queue_since_ms < MIN_QUEUE_MS:
+        calls = self.open.get(service, OpenCalls())
+        if calls.admitted < MIN_QUEUE_CALLS or now_ms - calls.queue_since_ms < MIN_QUEUE_MS:
             return 0
-        ended = self.answered_counts.total(service, now_ms, RATE_BUCKETS, before=1)
-        if not ended:
+        answered = self.answered_counts.total(service, now_ms, RATE_BUCKETS, before=1)
+        if not answered:
             return 0
-        per_s = ended * 1000.0 / (RATE_BUCKET_MS * RATE_BUCKETS) * growth
-        return int(here.admitted * 1000 / per_s)
+        per_s = answered * 1000.0 / (RATE_BUCKET_MS * RATE_BUCKETS) * growth
+        return int(calls.admitted * 1000 / per_s)
--- a/spokeroute/exchange/call_transitions.py
+++ b/spokeroute/exchange/call_transitions.py
@@ -1,4 +1,4 @@
-"""The moves of a call that every path of it shares: on to an instance, or to its one answer."""
+"""Transitions of a call that its events share: to an instance, into waiting, or to its answer."""
 
 from __future__ import annotations
 
@@ -39,16 +39,16 @@
 from spokeroute.exchange.withdrawal import WITHDRAWAL_REASONS, key_fault
 from spokeroute.transport.call_messages import Forward, ForwardDrop
 
-PICK_RETRY_MS = 30
-END_MARGIN_MS = 40
-MIN_RESEND_MS = 100
+PICK_RETRY_MS = 30  # between two looks for an instance for a call that waits for one
+END_MARGIN_MS = 40  # before the end of its wait, a call is answered
+MIN_RESEND_MS = 100  # of its wait must be left for a call to be sent again
 AVOID_MS = 60
-NO_ROOM_LIMIT_MS = 500  # within it, a start for what waits is decided
+NO_ROOM_LIMIT_MS = 500  # by then, starts for the calls that wait have been decided
 NO_ROOM_RETRY_MS = 90
 
 
 def send_call(state: State, call: Call, now_ms: Ms) -> tuple[State, Effects]:
-    """Pick an instance and forward the call to its holder, or hold it.
+    """Pick an instance and forward the call to its holder, or let the call wait.
 
     Example:
         state, effects = send_call(state, call, now_ms)
@@ -71,69 +71,71 @@
         why = f"every zone of {', '.join(call.route.regions)} is evacuated"
         return refuse(state, call, Kind.NO_ROOM, why, now_ms)
     if picked is None:
-        return _hold(state, call, now_ms)
-    why_again = resend_reason(call)
-    if why_again is None:
+        return _await_instance(state, call, now_ms)
+    resend_allowed = resend_reason(call)
+    if resend_allowed is None:
         return answer_unknown(state, call, now_ms)
-    name = call.service.name
+    service = call.service.name
     if call.was_refused or (call.tried_instances and picked.placed.id not in call.tried_instances):
-        spent = len(call.tried_instances) >= call.route.attempts
-        if spent or not state.budget.allows(name, now_ms):
-            return _deny_resend(state, call, spent, now_ms)
+        attempts_used_up = len(call.tried_instances) >= call.route.attempts
+        if attempts_used_up or not state.budget.allows(service, now_ms):
+            return _deny_resend(state, call, attempts_used_up, now_ms)
         call = replace(call, was_refused=False)
-        state = replace(state, budget=state.budget.count_resend(name, now_ms))
+        state = replace(state, budget=state.budget.count_resend(service, now_ms))
         state = record_successor(state, call, picked.placed.id, picked.rule, now_ms)
     elif not call.failed and not call.attempts and call.send_count == 0:
-        state = replace(state, budget=state.budget.count_first(name, now_ms))
+        state = replace(state, budget=state.budget.count_first(service, now_ms))
     notes: tuple[Effect, ...] = ()
     if call.send_count:
-        resends, note = count_resend(state.resends, call, why_again, picked.placed.id)
+        resends, note = count_resend(state.resends, call, resend_allowed, picked.placed.id)
         state, notes = replace(state, resends=resends), (note,)
     state, sent = _forward_call(state, call, picked, now_ms)
     return state, (*notes, sent)
 
 
 def _all_zones_evacuated(state: State, call: Call) -> bool:
-    """Whether a call, which no instance may have run, can run in none of its route's regions."""
+    """Whether every zone that a call's route allows is evacuated, and no instance was tried yet."""
     zones = state.places.zones_of(call.route.regions)
     return bool(zones) and zones <= state.tables.evacuated and not call.tried_instances
 
 
-def _hold(state: State, call: Call, now_ms: Ms) -> tuple[State, Effects]:
-    """There is no instance for a call now: it waits, or ends where it may have run."""
+def _await_instance(state: State, call: Call, now_ms: Ms) -> tuple[State, Effects]:
+    """There is no instance for a call now: it waits, or is answered if it may have run."""
     if call.tried_instances and not call.attempts and call.may_have_run:
         return answer_unknown(state, call, now_ms)
-    held = replace(call, phase=Phase.WAITING, next_ms=Ms(now_ms + PICK_RETRY_MS))
-    return report_urgently(store_call(state, held), call.service.name, now_ms)
+    waiting = replace(call, phase=Phase.WAITING, next_ms=Ms(now_ms + PICK_RETRY_MS))
+    return report_urgently(store_call(state, waiting), call.service.name, now_ms)
 
 
-def _deny_resend(state: State, call: Call, spent: bool, now_ms: Ms) -> tuple[State, Effects]:
-    """A call that needs a second send gets none: its route's attempts or the budget are spent."""
+def _deny_resend(
+    state: State, call: Call, attempts_used_up: bool, now_ms: Ms
+) -> tuple[State, Effects]:
+    """A call can't be sent again: its route's attempts or the retry budget are used up."""
     if call.may_have_run:
         return answer_unknown(state, call, now_ms)
-    limit = "as often as the route allows" if spent else "budget spent"
+    limit = "as often as the route allows" if attempts_used_up else "budget spent"
     return refuse(state, call, Kind.UNREACHED, f"{call.reason}; {limit}", now_ms)
 
 
 def _forward_call(state: State, call: Call, picked: Picked, now_ms: Ms) -> tuple[State, Effect]:
-    """A new attempt of a call, to the holder of the picked instance."""
+    """Start an attempt of a call: forward it to the holder of the picked instance."""
     placed = picked.placed
     attempt_id = f"{call.request.call_id}.{call.send_count}"
-    each = Attempt(
+    attempt = Attempt(
         placed.id, placed.worker, placed.holder, placed.holder_incarnation, now_ms,
         rule=picked.rule, zone=placed.zone,
     )  # fmt: skip
     call = replace(
         call, phase=Phase.TRYING, unsent=False, send_count=call.send_count + 1,
-        attempts=call.attempts.set(attempt_id, each), next_ms=Ms(now_ms + hedge_delay_ms(call)),
+        attempts=call.attempts.set(attempt_id, attempt), next_ms=Ms(now_ms + hedge_delay_ms(call)),
     )  # fmt: skip
-    ask = call.request
-    with_query = f"{ask.path}?{ask.query}" if ask.query else ask.path
-    path = ask.target or with_query
+    request = call.request
+    with_query = f"{request.path}?{request.query}" if request.query else request.path
+    path = request.target or with_query
     forward = Forward(
-        attempt_id, call.service.name, placed.id, placed.holder_incarnation, ask.method, path,
-        headers_for_instance(state.tables.table, ask.headers, ask.credential), ask.body,
-        max(0, call.deadline_ms - now_ms), ask.attempt, call.tenant, call.rank,
+        attempt_id, call.service.name, placed.id, placed.holder_incarnation, request.method, path,
+        headers_for_instance(state.tables.table, request.headers, request.credential), request.body,
+        max(0, call.deadline_ms - now_ms), request.attempt, call.tenant, call.rank,
         picked.rule == UNHELD_RULE,
     )  # fmt: skip
     count = state.outstanding.get(placed.id, 0) + 1
@@ -143,33 +145,33 @@
     state = replace(
         store_call(state, call),
         waits=waits,
-        slot_of_attempt=state.slot_of_attempt.set(attempt_id, ask.slot.index),
+        slot_of_attempt=state.slot_of_attempt.set(attempt_id, request.slot.index),
         outstanding=state.outstanding.set(placed.id, count),
     )
     return state, Send(NodeId(placed.holder), forward, placed.holder_address)
 
 
 def attempt_may_have_run(
-    state: State, call: Call, each: Attempt, why: str, now_ms: Ms
+    state: State, call: Call, attempt: Attempt, why: str, now_ms: Ms
 ) -> tuple[State, Effects]:
-    """An attempt ended without an answer that counts.
+    """An attempt ended without a conclusive answer.
 
     Example:
-        state, effects = attempt_may_have_run(state, call, each, "lost: reset", now_ms)
+        state, effects = attempt_may_have_run(state, call, attempt, "lost: reset", now_ms)
     """
     call = replace(
-        call, may_have_run=True, reason=why, failed=(*call.failed, each),
-        tried_instances=call.tried_instances | {each.instance},
+        call, may_have_run=True, reason=why, failed=(*call.failed, attempt),
+        tried_instances=call.tried_instances | {attempt.instance},
     )  # fmt: skip
     state = replace(
         state,
-        avoided_until_ms=avoid_instance(state.avoided_until_ms, each.instance, now_ms, AVOID_MS),
+        avoided_until_ms=avoid_instance(state.avoided_until_ms, attempt.instance, now_ms, AVOID_MS),
     )
     return continue_call(store_call(state, call), call, now_ms)
 
 
 def continue_call(state: State, call: Call, now_ms: Ms) -> tuple[State, Effects]:
-    """After an attempt without an answer: a successor, a wait, or the truth at once.
+    """After an attempt without an answer: try a successor, wait, or answer the call.
 
     Example:
         state, effects = continue_call(state, call, now_ms)
@@ -184,14 +186,14 @@
         return send_call(state, call, now_ms)
     if call.tried_instances:
         return send_call(state, call, now_ms)
-    held = replace(call, phase=Phase.WAITING, next_ms=Ms(now_ms + PICK_RETRY_MS))
-    return store_call(state, held), ()
+    waiting = replace(call, phase=Phase.WAITING, next_ms=Ms(now_ms + PICK_RETRY_MS))
+    return store_call(state, waiting), ()
 
 
 def no_room_at_holder(state: State, call: Call, now_ms: Ms) -> tuple[State, Effects]:
-    """A holder has no room for a call in time. It goes to another, unless the service's backlog
-    is too long as well, or holders had none for as long as a start takes to be decided and nothing
-    starts: then it is refused at once, and told when to come back.
+    """A holder has no room for a call in time. Another holder is tried, unless the estimated wait
+    for the service is too long as well, or holders have had no room for as long as it takes to
+    decide a start and nothing is starting: then the call is refused at once, with a Retry-After.
 
     Example:
         state, effects = no_room_at_holder(state, call, now_ms)
@@ -207,14 +209,14 @@
     ):
         backlog_ms = max(backlog_ms, left_ms)
     if backlog_ms > WAIT_SHARE * left_ms:
-        why, back_s = queue_refusal(backlog_ms, left_ms)
-        return refuse(state, replace(call, retry_after_s=back_s), Kind.NO_ROOM, why, now_ms)
-    held = replace(call, phase=Phase.WAITING, next_ms=Ms(now_ms + NO_ROOM_RETRY_MS))
-    return store_call(state, held), ()
+        why, retry_after_s = queue_refusal(backlog_ms, left_ms)
+        return refuse(state, replace(call, retry_after_s=retry_after_s), Kind.NO_ROOM, why, now_ms)
+    waiting = replace(call, phase=Phase.WAITING, next_ms=Ms(now_ms + NO_ROOM_RETRY_MS))
+    return store_call(state, waiting), ()
 
 
 def answer_unknown(state: State, call: Call, now_ms: Ms) -> tuple[State, Effects]:
-    """The truth where it may have run.
+    """Answer a call that may have run: its outcome is unknown.
 
     Example:
         state, effects = answer_unknown(state, call, now_ms)
@@ -227,7 +229,7 @@
 
 
 def refuse(state: State, call: Call, kind: Kind, why: str, now_ms: Ms) -> tuple[State, Effects]:
-    """Not run: a claim is freed before that is said.
+    """Refuse a call that did not run; its claim is released before the caller is told.
 
     Example:
         state, effects = refuse(state, call, now_ms)
@@ -245,7 +247,7 @@
 
 
 def end_call(state: State, call: Call, now_ms: Ms) -> tuple[State, Effects]:
-    """The wait is over.
+    """The wait of a call is over, or its caller is gone: answer it.
 
     Example:
         state, effects = end_call(state, call, now_ms)
@@ -267,7 +269,7 @@
 def answer_call(
     state: State, call: Call, answer: Answer, now_ms: Ms, by: Attempt | None = None
 ) -> tuple[State, Effects]:
-    """The one answer; the slot is free after it. ``by`` is the attempt that an instance answered.
+    """Send the only answer and free the slot. ``by`` is the attempt that an instance answered.
 
     Example:
         state, effects = answer_call(state, call, now_ms)
@@ -311,25 +313,25 @@
 
 
 def lose_attempt(state: State, attempt_id: str, why: str, now_ms: Ms) -> tuple[State, Effects]:
-    """No answer comes to an attempt any more.
+    """An attempt will get no answer any more, and may have run.
 
     Example:
         state, effects = lose_attempt(state, "c1.0", "lost: its link broke", now_ms)
     """
-    state, call, each = end_attempt(state, attempt_id)
-    if call is None or each is None:
+    state, call, attempt = end_attempt(state, attempt_id)
+    if call is None or attempt is None:
         return state, ()
-    return attempt_may_have_run(state, call, each, why, now_ms)
+    return attempt_may_have_run(state, call, attempt, why, now_ms)
 
 
 def unsent_attempt(state: State, attempt_id: str, now_ms: Ms) -> tuple[State, Effects]:
-    """An attempt was never sent: the call goes on as if it had not been tried.
+    """An attempt was never sent: the call continues as if it had not been made.
 
     Example:
         state, effects = unsent_attempt(state, "c1.0", now_ms)
     """
-    state, call, each = end_attempt(state, attempt_id)
-    if call is None or each is None:
+    state, call, attempt = end_attempt(state, attempt_id)
+    if call is None or attempt is None:
         return state, ()
     call = replace(call, unsent=True, reason=Cause.DOWN.said("its holder can't be reached"))
     return continue_call(state, call, now_ms)
--- a/spokeroute/exchange/open_calls.py
+++ b/spokeroute/exchange/open_calls.py
@@ -1,4 +1,4 @@
-"""What the callers' door keeps of requests that it has not answered."""
+"""What the HTTP front keeps of requests that it has not answered."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class OpenCall:
-    """A call that was handed to the loop."""
+    """A call that was posted to the loop."""
 
     connection: Connection
     slot: SlotId
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EarlyRequest:
-    """A request that came before this process's first proof, and until when it may wait."""
+    """A request that arrived before this process's first proof, and until when it may wait."""
 
     connection: Connection
     received_ms: int
--- a/spokeroute/exchange/rank.py
+++ b/spokeroute/exchange/rank.py
@@ -1,17 +1,17 @@
-"""How urgent a call is: its tenant's priority first, then its route's; 0 is the most urgent.
+"""The urgency of a call: by its tenant's priority, then by its route's; 0 is the most urgent.
 
-Ranks decide whose turn it is in a holder's queue (``held_instance.in_turn``), not who may join it:
-in a crowd urgent calls wait less, and are not more.
+Ranks decide the order in a holder's queue (``held_instance.in_turn``), not admission to it: under
+load, urgent calls wait for a shorter time, but no more of them are admitted.
 """
 
 from __future__ import annotations
 
-MAX_PRIORITY = 9  # what is less urgent than this counts as this
+MAX_PRIORITY = 9  # lower priorities count as this one
 PRIORITY_LEVELS = MAX_PRIORITY + 1
 
 
 def rank_of(tenant_priority: int, route_priority: int) -> int:
-    """A call's rank.
+    """The rank of a call.
 
     Example:
         >>> rank_of(0, 2), rank_of(1, 0), rank_of(500, 500)
--- a/spokeroute/exchange/requeue.py
+++ b/spokeroute/exchange/requeue.py
@@ -1,10 +1,10 @@
-"""Calls leave a holder's queue for an instance of their service that has room.
+"""Moves calls from a holder's queue to another instance of their service that has room.
 
-A holder tells an entry which of its calls wait, and the core hears of them sooner. The entry
-does not know what others sent to the other instances, so it first asks their holders for room.
-For each place that is told it asks one call back, and a holder gives back what is still in its
-queue, and nothing else. That was never sent to an instance: it goes to the place at once, and
-costs nothing of the retry budget.
+A holder reports which calls of an entry node are queued, and the next demand report to the core is
+sent earlier. The entry node does not know the load that others put on the other instances, so it
+first asks their holders for room. For each free place it recalls one call. A holder gives a call
+back only if it is still queued. Such a call was never sent to an instance: it is sent to the free
+place at once, and does not count against the retry budget.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
     RoomAsk,
 )
 
-ROOM_REQUEST_INTERVAL_MS = 100  # how often an entry asks for room for a service
-MAX_ROOM_REQUESTS = 3  # instances at a time
+ROOM_REQUEST_INTERVAL_MS = 100  # between two requests for the same service
+MAX_ROOM_REQUESTS = 3  # instances asked at a time
 
 
 def mark_queued(state: State, attempt_id: str, now_ms: Ms) -> State:
-    """A holder says that a call waits in its queue. The core hears of it with the next report.
+    """A holder reports that a call is queued. The next report to the core is sent earlier.
 
     Example:
         state = mark_queued(state, "c1.0", now_ms)
@@ -37,14 +37,14 @@
     call = state.calls.get(state.slot_of_attempt.get(attempt_id, -1))
     if call is None or attempt_id not in call.attempts:
         return state
-    each = replace(call.attempts[attempt_id], queued=True)
-    call = replace(call, attempts=call.attempts.set(attempt_id, each))
+    attempt = replace(call.attempts[attempt_id], queued=True)
+    call = replace(call, attempts=call.attempts.set(attempt_id, attempt))
     report_ms = min(state.next_report_ms, Ms(now_ms + URGENT_REPORT_MS))
     return store_call(replace(state, next_report_ms=report_ms), call)
 
 
 def request_room(state: State, now_ms: Ms) -> tuple[State, Effects]:
-    """Ask for room for the services whose calls wait in queues.
+    """Ask other holders for room for the services that have queued calls.
 
     Example:
         state, effects = request_room(state, now_ms)
@@ -67,7 +67,7 @@
 
 
 def recall_queued(state: State, instance: str, free: int) -> tuple[State, Effects]:
-    """An instance has room: ask as many calls back, first the most urgent, then by their age.
+    """An instance has room for some calls: recall as many, the most urgent and then oldest first.
 
     Example:
         state, effects = recall_queued(state, "a", 1)
@@ -75,35 +75,36 @@
     placed = state.tables.by_id.get(instance)
     if placed is None:
         return state, ()
-    here = [
-        (call, attempt_id, each)
-        for call, attempt_id, each in _queued(state)
-        if call.service.name == placed.service and each.instance != instance
+    queued = [
+        (call, attempt_id, attempt)
+        for call, attempt_id, attempt in _queued(state)
+        if call.service.name == placed.service and attempt.instance != instance
     ]
-    here.sort(key=lambda found: (found[0].rank, found[0].start_ms, found[1]))
+    queued.sort(key=lambda item: (item[0].rank, item[0].start_ms, item[1]))
     effects: list[Effect] = []
-    for call, attempt_id, each in here[:free]:
-        asked = call.attempts.set(attempt_id, replace(each, recalled=True))
+    for call, attempt_id, attempt in queued[:free]:
+        asked = call.attempts.set(attempt_id, replace(attempt, recalled=True))
         state = store_call(state, replace(call, attempts=asked, requeue_target=instance))
-        effects.append(Send(each.holder, ForwardDrop(attempt_id, queued_only=True)))
+        effects.append(Send(attempt.holder, ForwardDrop(attempt_id, queued_only=True)))
     return state, tuple(effects)
 
 
 def _queued(state: State) -> Iterator[tuple[Call, str, Attempt]]:
-    """Calls whose only attempt is known to wait, and was not asked back."""
+    """Calls whose only attempt is known to be queued, and was not recalled."""
     for call in state.calls.values():
         if call.tried_instances or call.caller_gone_ms >= 0 or len(call.attempts) != 1:
             continue
-        attempt_id, each = next(iter(call.attempts.items()))
-        if each.queued and not each.recalled:
-            yield call, attempt_id, each
+        attempt_id, attempt = next(iter(call.attempts.items()))
+        if attempt.queued and not attempt.recalled:
+            yield call, attempt_id, attempt
 
 
 def _may_have_room(state: State, service: str, now_ms: Ms) -> list[Placed]:
-    """Routed instances, and those that start, that have room as far as this entry's own calls
-    tell, in an order that changes with time. A holder knows first that one is up."""
+    """Routed and starting instances that have room as far as this node's own calls tell, in an
+    order that changes with time. Starting ones are included as their holder is the first to know
+    when they are up."""
     lost = lost_instances(state, now_ms)
-    found = [
+    candidates = [
         placed
         for placed in state.tables.by_service.get(service, ())
         if ((placed.routed and usable(placed, state.tables)) or soon_usable(placed, state.tables))
@@ -111,4 +112,6 @@
         and state.outstanding.get(placed.id, 0) < placed.limit
         and state.avoided_until_ms.get(placed.id, -1) <= now_ms
     ]
-    return sorted(found, key=lambda placed: zlib.crc32(f"{state.me}/{placed.id}/{now_ms}".encode()))
+    return sorted(
+        candidates, key=lambda placed: zlib.crc32(f"{state.me}/{placed.id}/{now_ms}".encode())
+    )
--- a/spokeroute/exchange/resend.py
+++ b/spokeroute/exchange/resend.py
@@ -1,4 +1,4 @@
-"""Why a call may be sent once more: the one place that allows it, and what is noted of it."""
+"""The only place that decides whether a call may be sent again, and the counts of the reasons."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class ResendReason(StrEnum):
-    """What makes one more send of a call harmless."""
+    """Why another send of a call is safe."""
 
     NEVER_SENT = "never sent"
-    """The send before never left this process, or was never handed to an instance."""
+    """The previous attempt never left this process, or was never sent to an instance."""
     NOT_RUN = "not run"
-    """Whoever had the send before said that it did not run and will not."""
+    """Whoever had the previous attempt confirmed that it did not and will not run."""
     REPEATABLE = "repeatable"
-    """The send before may have run, and the call may run more than once."""
+    """The previous attempt may have run, but the call may run more than once."""
 
 
 def resend_reason(call: Call) -> ResendReason | None:
-    """Why a call that was sent before may be sent again; None where it may not.
+    """Why a call that was sent before may be sent again; None if it may not.
 
     Example:
         resend_reason(call) is ResendReason.NOT_RUN
@@ -35,7 +35,7 @@
 def count_resend(
     resends: Map[str, int], call: Call, why: ResendReason, instance: str
 ) -> tuple[Map[str, int], Note]:
-    """The count by reason with one more, and the line for the ring log.
+    """The counts by reason with one more resend, and a line for the log.
 
     Example:
         resends, note = count_resend(resends, call, ResendReason.NOT_RUN, "i1")
--- a/spokeroute/exchange/unheld.py
+++ b/spokeroute/exchange/unheld.py
@@ -1,4 +1,4 @@
-"""Instances that no living exchange holds, where an entry may send to them itself."""
+"""Selection of instances that no running exchange holds, which an entry node may call directly."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 def pick_unheld(state: State, call: Call, now_ms: Ms) -> Picked | None:
-    """An instance that no living exchange holds, where instances turn away by themselves what is
-    over their limit: this exchange sends to it unheld, one call at a time.
+    """An instance that no running exchange holds. Only used if instances refuse calls over their
+    limit by themselves: this exchange then sends to it without a holder, one call at a time.
 
     Example:
         pick_unheld(state, call, now_ms)
     """
     lost = lost_instances(state, now_ms)
     tables = state.tables
-    free = [
+    candidates = [
         placed
         for placed in instances_for(call, tables, state.places)
         if (placed.holder == "" or lost(placed))
@@ -31,13 +31,13 @@
         and state.draining_until_ms.get(placed.id, -1) <= now_ms
         and state.outstanding.get(placed.id, 0) < 1
     ]
-    if not free:
+    if not candidates:
         return None
 
     def by_distance_then_spread(placed: Placed) -> tuple[int, int]:
         spread = zlib.crc32(f"{call.request.call_id}/{placed.id}".encode())
         return state.places.distance(placed.zone), spread
 
-    best = min(free, key=by_distance_then_spread)
-    mine = replace(best, holder=state.me, holder_incarnation=Incarnation(state.incarnation))
-    return Picked(mine, UNHELD_RULE)
+    best = min(candidates, key=by_distance_then_spread)
+    held_here = replace(best, holder=state.me, holder_incarnation=Incarnation(state.incarnation))
+    return Picked(held_here, UNHELD_RULE)
--- a/spokeroute/exchange/waits.py
+++ b/spokeroute/exchange/waits.py
@@ -1,5 +1,5 @@
-"""How long calls wait for an instance at their own exchange: the steps of a cold start that the
-member that places does not see.
+"""How long calls wait for an instance at their entry node: the steps of a cold start that the
+member with the placement role does not see.
 """
 
 from __future__ import annotations
@@ -14,20 +14,22 @@
 
 
 class Wait(StrEnum):
-    """What a call of a service without an instance waits for."""
+    """The step of a cold start that a call waits for."""
 
-    PLACED = "placed"  # read -> a proved table names an instance: report, decision, write, proof
-    ANSWERED = "answered"  # forwarded to the holder of one that boots -> answered
+    PLACED = "placed"
+    """From the request until a proved table has an instance: report, decision, write, proof."""
+    ANSWERED = "answered"
+    """From the forward to the holder of a starting instance until the answer."""
 
 
 @dataclass(frozen=True, slots=True)
 class Waits:
-    """The histogram of each."""
+    """A histogram of each kind of wait."""
 
     histograms: Map[str, Histogram] = field(default_factory=Map)
 
     def ended(self, wait: Wait, took_ms: int) -> Waits:
-        """One more wait is over.
+        """Record a wait that ended.
 
         Example:
             >>> Waits().ended(Wait.PLACED, 80).histograms["placed"].sum_ms
--- a/spokeroute/exchange/withdrawal.py
+++ b/spokeroute/exchange/withdrawal.py
@@ -1,4 +1,4 @@
-"""Keys that are withdrawn while calls wait: they end before they reach an instance."""
+"""API keys that are withdrawn while calls wait: the calls end before they reach an instance."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 
 
 def key_fault(state: State, call: Call) -> Kind | None:
-    """Why a call may not be sent any more by the newest tables; None where it may. One whose key is
-    another tenant's now may come again, in that one's name.
+    """Why a call may not be sent any more by the newest tables; None if it may. A call whose key
+    now belongs to another tenant may be repeated by the caller, on behalf of that tenant.
 
     Example:
         key_fault(state, call) is None
@@ -32,8 +32,8 @@
 
 
 def recall_withdrawn(state: State) -> Effects:
-    """Ask holders to give back the calls whose keys a newer configuration withdrew, as far as they
-    still wait in queues.
+    """Ask holders to give back the calls whose keys a newer configuration withdrew, if they are
+    still queued.
 
     Example:
         effects = recall_withdrawn(state)
