--- a/tests/sends_model.py
+++ b/tests/sends_model.py
@@ -150,7 +150,7 @@
 
     def tables(self) -> Tables:
         by_id = {f"i{n}": placed(n, self.placed_incarnations[HOLDERS[n % 2]]) for n in range(4)}
-        floor = replace(Tables().floor, instances=tuple(by_id.values()))
+        floor = replace(Tables().placements, instances=tuple(by_id.values()))
         by_service = Map({"s": floor.instances})
         return Tables(self.now_ms, TABLE, floor, by_service, Map(by_id), proof_valid_ms=FOREVER_MS)
 
--- a/tests/test_bytes.py
+++ b/tests/test_bytes.py
@@ -113,10 +113,10 @@
         honest(data)
 
     node._received = counted  # type: ignore[method-assign]
-    before = node.state("calls").tables.floor.sequence
+    before = node.state("calls").tables.placements.sequence
     sim.traffic(80, 3_000, ("/small/1", "/small/2"))
     sim.run(3_000)
-    after = node.state("calls").tables.floor.sequence
+    after = node.state("calls").tables.placements.sequence
     assert after > before
     assert len(values) <= 1.5 * (after - before) + 3
     near.kill()
@@ -124,7 +124,7 @@
     sim.traffic(80, 3_000, ("/small/1", "/small/2"))
     sim.run(5_000)
     newest = max(f.sequence for _, _, f in sim.floors)
-    assert node.state("calls").tables.floor.sequence >= newest - 3  # it changes on
+    assert node.state("calls").tables.placements.sequence >= newest - 3  # it changes on
 
 
 def test_shared_entries_come_as_they_were() -> None:
--- a/tests/test_guests.py
+++ b/tests/test_guests.py
@@ -115,7 +115,7 @@
     for node in safe.exchanges:
         open_ = node.state("calls")
         tables = open_.tables
-        other = {p.id: replace(p, holder=NodeId("ex9")) for p in tables.floor.instances}
+        other = {p.id: replace(p, holder=NodeId("ex9")) for p in tables.placements.instances}
         moved = replace(tables, by_id=Map(other))
         state, effects = lose_moved(replace(open_, tables=moved), node.now_ms())
         assert effects == () and state.calls == open_.calls
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -213,7 +213,7 @@
         sparse.call(f"/rare/{number}", sparse.exchanges[number])
         sparse.run(70)
     sparse.run(4_000)
-    waits = [x.state("calls").waits.by for x in sparse.exchanges]
+    waits = [x.state("calls").waits.histograms for x in sparse.exchanges]
     placed = [by["placed"] for by in waits if "placed" in by]
     answered = [by["answered"] for by in waits if "answered" in by]
     assert sum(h.count for h in placed) == sum(h.count for h in answered) == 12
