--- a/spokeroute/exchange/requeue.py
+++ b/spokeroute/exchange/requeue.py
@@ -56,11 +56,11 @@
             < ROOM_REQUEST_INTERVAL_MS
         ):
             continue
-        asked = _may_have_room(state, service, now_ms)[:MAX_ROOM_REQUESTS]
-        if not asked:
+        targets = _may_have_room(state, service, now_ms)[:MAX_ROOM_REQUESTS]
+        if not targets:
             continue
         effects.extend(
-            Send(placed.holder, RoomAsk(placed.id), placed.holder_address) for placed in asked
+            Send(placed.holder, RoomAsk(placed.id), placed.holder_address) for placed in targets
         )
         state = replace(state, room_asked_ms=state.room_asked_ms.set(service, now_ms))
     return state, tuple(effects)
@@ -83,8 +83,8 @@
     queued.sort(key=lambda item: (item[0].rank, item[0].start_ms, item[1]))
     effects: list[Effect] = []
     for call, attempt_id, attempt in queued[:free]:
-        asked = call.attempts.set(attempt_id, replace(attempt, recalled=True))
-        state = store_call(state, replace(call, attempts=asked, requeue_target=instance))
+        attempts = call.attempts.set(attempt_id, replace(attempt, recalled=True))
+        state = store_call(state, replace(call, attempts=attempts, requeue_target=instance))
         effects.append(Send(attempt.holder, ForwardDrop(attempt_id, queued_only=True)))
     return state, tuple(effects)
 
