--- a/tests/door.py
+++ b/tests/front_harness.py
@@ -28,7 +28,7 @@
 GET = b"GET /a HTTP/1.1\r\nHost: shop.example\r\n\r\n"
 
 
-class Door:
+class FrontHarness:
     """A front on its own loop, and the calls that it posted."""
 
     ended: bool
--- a/tests/sim/sides.py
+++ b/tests/sim/sides.py
@@ -9,7 +9,7 @@
 from tests.sim.acts import cut
 from tests.sim.cluster import Sim
 from tests.sim.world import Node
-from tests.test_going_on import watched
+from tests.test_cut_off_exchanges import watched
 
 STALE_MS = 4_000
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -12,24 +12,24 @@
 
 from spokeroute.common.answers import Answer
 from spokeroute.exchange.types import CallIn
-from tests.door import GET, LONG, Caller, Door
+from tests.front_harness import GET, LONG, Caller, FrontHarness
 
 
 @pytest.fixture
-def door() -> Iterator[Door]:
-    made = Door()
+def harness() -> Iterator[FrontHarness]:
+    made = FrontHarness()
     yield made
     made.close()
 
 
-def test_the_dialect_sets_which_headers_are_read(door: Door) -> None:
-    caller = Caller(door.address).send(
+def test_the_dialect_sets_which_headers_are_read(harness: FrontHarness) -> None:
+    caller = Caller(harness.address).send(
         b"POST /a/b%2Fc%20d?x=%31&y HTTP/1.1\r\nHost: shop.example\r\nTime-Left: 700\r\n"
         b"Try-Id: t-9\r\nOnce: k1\r\nWho: me\r\nContent-Length: 2\r\nKeep-Alive: 3\r\n"
         b"Connection: x-hop, keep-alive\r\nX-Hop: 1\r\nExpect: nothing\r\n\r\n{}"
     )
     assert caller.answer()[0] == 200
-    call = door.call()
+    call = harness.call()
     assert (call.wait, call.attempt, call.key, call.client) == ("700", "t-9", "k1", "me")
     assert (call.host, call.target, call.body) == ("shop.example", "/a/b%2Fc%20d?x=%31&y", b"{}")
     assert (call.method, call.path, call.query) == ("POST", "/a/b/c d", "x=%31&y")
@@ -39,8 +39,8 @@
     )  # fmt: skip
 
 
-def test_targets_are_passed_on_unchanged(door: Door) -> None:
-    caller = Caller(door.address)
+def test_targets_are_passed_on_unchanged(harness: FrontHarness) -> None:
+    caller = Caller(harness.address)
     for sent, target, path in (
         (b"http://other.example/a?q", "/a?q", "/a"),
         (b"//twice//a", "//twice//a", "/twice//a"),
@@ -49,57 +49,58 @@
     ):
         caller.send(b"GET " + sent + b" HTTP/1.1\r\nHost: shop.example\r\n\r\n")
         assert caller.answer()[0] == 200
-        call = door.call()
+        call = harness.call()
         assert (call.target, call.path, call.wait) == (target, path, "")
         assert call.host == ("other.example" if b"://" in sent else "shop.example")
 
 
-def test_readiness_has_its_own_listener(door: Door) -> None:
-    caller = Caller(door.ready_address)
+def test_readiness_has_its_own_listener(harness: FrontHarness) -> None:
+    caller = Caller(harness.ready_address)
     for ready, status in ((True, 200), (False, 503), (True, 200)):
-        door.is_ready = ready
+        harness.is_ready = ready
         assert caller.send(b"GET /health/up HTTP/1.1\r\nHost: x\r\n\r\n").answer()[0] == status
     assert caller.send(GET).answer()[0] == 404
-    assert door.calls.empty()
+    assert harness.calls.empty()
     assert (
-        Caller(door.address).send(b"GET /health/up HTTP/1.1\r\nHost: x\r\n\r\n").answer()[0] == 200
+        Caller(harness.address).send(b"GET /health/up HTTP/1.1\r\nHost: x\r\n\r\n").answer()[0]
+        == 200
     )
-    assert door.call().path == "/health/up"  # on the callers' listener it is an ordinary path
+    assert harness.call().path == "/health/up"  # on the callers' listener it is an ordinary path
 
 
-def test_metrics_are_served_on_the_readiness_listener_only(door: Door) -> None:
-    door.front.metrics = lambda: b"spokeroute_open_calls 0.0\n"
+def test_metrics_are_served_on_the_readiness_listener_only(harness: FrontHarness) -> None:
+    harness.front.metrics = lambda: b"spokeroute_open_calls 0.0\n"
     ask = b"GET /spokeroute/metrics HTTP/1.1\r\nHost: x\r\n\r\n"
-    status, headers, body = Caller(door.ready_address).send(ask).answer()
+    status, headers, body = Caller(harness.ready_address).send(ask).answer()
     assert (status, body) == (200, b"spokeroute_open_calls 0.0\n")
     assert headers["content-type"].startswith("text/plain; version=0.0.4")
-    assert door.calls.empty()
-    assert Caller(door.address).send(ask).answer()[2] == b"done"
-    assert door.call().path == "/spokeroute/metrics"  # an ordinary path here
+    assert harness.calls.empty()
+    assert Caller(harness.address).send(ask).answer()[2] == b"done"
+    assert harness.call().path == "/spokeroute/metrics"  # an ordinary path here
 
 
-def test_chunked_bodies_are_assembled(door: Door) -> None:
+def test_chunked_bodies_are_assembled(harness: FrontHarness) -> None:
     head = b"POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
-    caller = Caller(door.address)
+    caller = Caller(harness.address)
     for data in (head, b"4\r\nab", b"cd\r\n1;ext=1\r\ne\r", b"\n0\r\nTrailer: x\r\n\r\n" + GET):
         caller.send(data)
     assert caller.answer()[0] == caller.answer()[0] == 200
-    call = door.call()
+    call = harness.call()
     assert call.body == b"abcde" and call.headers == (("Host", "x"),)
-    assert door.call().body == b""
+    assert harness.call().body == b""
 
 
-def test_a_request_may_arrive_byte_by_byte(door: Door) -> None:
-    caller = Caller(door.address)
+def test_a_request_may_arrive_byte_by_byte(harness: FrontHarness) -> None:
+    caller = Caller(harness.address)
     for byte in GET.replace(b"GET", b"PUT").replace(
         b"\r\n\r\n", b"\r\nContent-Length: 3\r\n\r\nabc"
     ):
         caller.send(bytes((byte,)))
     assert caller.answer()[0] == 200
-    assert door.call().body == b"abc"
+    assert harness.call().body == b"abc"
 
 
-def test_instance_answers_are_passed_on_without_hop_headers(door: Door) -> None:
+def test_instance_answers_are_passed_on_without_hop_headers(harness: FrontHarness) -> None:
     headers = (
         ("Content-Type", "text/plain"), ("X-Seal", "a.b"), ("content-encoding", "gzip"),
         ("Date", "Thu, 01 Jan 1970 00:00:00 GMT"), ("Server", "theirs"), ("X-Empty", ""),
@@ -110,8 +111,8 @@
         ("Keep-Alive", "timeout=99"), ("Content-Length", "77"), ("Trailer", "X-T"),
     )  # fmt: skip
     body = bytes(range(256)) * 2_000
-    door.answer = lambda call: Answer(201, (*headers, *hop), body)
-    status, got, data = Caller(door.address).send(GET).answer()
+    harness.answer = lambda call: Answer(201, (*headers, *hop), body)
+    status, got, data = Caller(harness.address).send(GET).answer()
     assert (status, data) == (201, body)
     assert got == {
         "content-type": "text/plain", "x-seal": "a.b", "content-encoding": "gzip",
@@ -122,11 +123,11 @@
 
 @pytest.mark.parametrize("status", [204, 304, 200])
 @pytest.mark.parametrize("method", ["GET", "HEAD"])
-def test_framing_without_a_body(door: Door, status: int, method: str) -> None:
+def test_framing_without_a_body(harness: FrontHarness, status: int, method: str) -> None:
     length = (("Content-Length", "5"),)
     body = b"hello" if (status, method) == (200, "GET") else b""
-    door.answer = lambda call: Answer(status, length, body)
-    caller = Caller(door.address)
+    harness.answer = lambda call: Answer(status, length, body)
+    caller = Caller(harness.address)
     for _ in range(2):  # the second request shows that the first answer ended where it says
         caller.send(GET.replace(b"GET", method.encode()))
         got, headers, data = caller.answer(method)
@@ -134,66 +135,68 @@
         assert headers.get("content-length") == (None if status == 204 else "5")
 
 
-def test_http_1_0_and_connection_close(door: Door) -> None:
+def test_http_1_0_and_connection_close(harness: FrontHarness) -> None:
     for head, stays in (
         (b"GET /a HTTP/1.0\r\n\r\n", False),
         (b"GET /a HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", True),
         (b"GET /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", False),
         (GET, True),
     ):
-        caller = Caller(door.address).send(head)
+        caller = Caller(harness.address).send(head)
         status, headers, _ = caller.answer()
         assert status == 200
         assert (headers.get("connection") == "close") is not stays
         assert caller.send(GET).answer()[0] == 200 if stays else caller.closed()
 
 
-def test_pipelined_requests_get_their_own_answers(door: Door) -> None:
-    door.answer = lambda call: Answer(200, (), call.target.encode())
+def test_pipelined_requests_get_their_own_answers(harness: FrontHarness) -> None:
+    harness.answer = lambda call: Answer(200, (), call.target.encode())
     sent = b"".join(GET.replace(b"/a", b"/%d" % n) for n in range(50))
-    caller = Caller(door.address).send(sent)
+    caller = Caller(harness.address).send(sent)
     assert [caller.answer()[2] for _ in range(50)] == [b"/%d" % n for n in range(50)]
 
 
-def test_an_answer_for_a_gone_caller_is_dropped(door: Door) -> None:
-    door.hold()
-    left = Caller(door.address).send(GET)
-    call = door.call()
+def test_an_answer_for_a_gone_caller_is_dropped(harness: FrontHarness) -> None:
+    harness.hold()
+    left = Caller(harness.address).send(GET)
+    call = harness.call()
     left.sock.close()
-    assert door.gone.get(timeout=20) == call.slot
-    door.reply(call.slot, Answer(200, (), b"late"))
-    door.answer = lambda call: Answer(200, (), b"own")
-    stays = Caller(door.address)
+    assert harness.gone.get(timeout=20) == call.slot
+    harness.reply(call.slot, Answer(200, (), b"late"))
+    harness.answer = lambda call: Answer(200, (), b"own")
+    stays = Caller(harness.address)
     for _ in range(20):  # the slot is reused
         assert stays.send(GET).answer()[2] == b"own"
-        door.reply(call.slot, Answer(200, (), b"later"))
+        harness.reply(call.slot, Answer(200, (), b"later"))
 
 
-def test_calls_beyond_the_slots_are_refused_at_once(door: Door) -> None:
-    door.hold()
-    callers = [Caller(door.address).send(GET) for _ in range(8)]
-    held = [door.call() for _ in callers]
-    status, headers, body = Caller(door.address).send(GET).answer()
+def test_calls_beyond_the_slots_are_refused_at_once(harness: FrontHarness) -> None:
+    harness.hold()
+    callers = [Caller(harness.address).send(GET) for _ in range(8)]
+    held = [harness.call() for _ in callers]
+    status, headers, body = Caller(harness.address).send(GET).answer()
     assert status == 503 and headers["retry-after"] == "1" and b'"ran": "no"' in body
     for call in held:
-        door.reply(call.slot, Answer(200, (), b"done"))
+        harness.reply(call.slot, Answer(200, (), b"done"))
     assert [caller.answer()[0] for caller in callers] == [200] * 8
 
 
 @pytest.mark.parametrize("delay_s", [0.0, 0.005])
-def test_time_before_a_request_is_read_counts_as_waited(door: Door, delay_s: float) -> None:
+def test_time_before_a_request_is_read_counts_as_waited(
+    harness: FrontHarness, delay_s: float
+) -> None:
     """Also if the process is delayed between the poll and the handling of its events."""
-    poll = door.loop.selector.select
+    poll = harness.loop.selector.select
 
     def delayed(timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         ready = poll(timeout)
         time.sleep(delay_s)
         return ready
 
-    door.loop.selector.select = delayed  # type: ignore[method-assign]
-    second, blocked = Caller(door.address), threading.Event()
+    harness.loop.selector.select = delayed  # type: ignore[method-assign]
+    second, blocked = Caller(harness.address), threading.Event()
     assert second.send(GET).answer()[0] == 200
-    assert door.call().waited_ms < 2_000
+    assert harness.call().waited_ms < 2_000
 
     def block(call: CallIn) -> Answer:
         if not blocked.is_set():
@@ -202,37 +205,39 @@
             time.sleep(0.3)  # a slow turn of the loop
         return Answer(200, (), b"done")
 
-    door.answer = block
-    Caller(door.address).send(GET).answer()
+    harness.answer = block
+    Caller(harness.address).send(GET).answer()
     assert second.answer()[0] == 200
-    door.call()
-    assert door.call().waited_ms >= 300
+    harness.call()
+    assert harness.call().waited_ms >= 300
 
 
-def test_calls_wait_for_the_first_proof(door: Door) -> None:
-    door.is_ready = False
-    caller = Caller(door.address).send(GET)
+def test_calls_wait_for_the_first_proof(harness: FrontHarness) -> None:
+    harness.is_ready = False
+    caller = Caller(harness.address).send(GET)
     assert (
-        Caller(door.ready_address).send(b"GET /health/up HTTP/1.1\r\nHost: x\r\n\r\n").answer()[0]
+        Caller(harness.ready_address)
+        .send(b"GET /health/up HTTP/1.1\r\nHost: x\r\n\r\n")
+        .answer()[0]
         == 503
     )
-    assert door.calls.empty()
-    door.is_ready = True
+    assert harness.calls.empty()
+    harness.is_ready = True
     assert caller.answer()[0] == 200
-    assert door.call().waited_ms >= 0
+    assert harness.call().waited_ms >= 0
 
 
-def test_100_continue_is_sent_if_the_caller_expects_it(door: Door) -> None:
-    caller = Caller(door.address).send(LONG + b"2\r\nExpect: 100-continue\r\n\r\n")
+def test_100_continue_is_sent_if_the_caller_expects_it(harness: FrontHarness) -> None:
+    caller = Caller(harness.address).send(LONG + b"2\r\nExpect: 100-continue\r\n\r\n")
     while b"\r\n\r\n" not in caller.read:
         assert caller.more()
     assert caller.read == b"HTTP/1.1 100 Continue\r\n\r\n"
     caller.read.clear()
     assert caller.send(b"{}").answer()[0] == 200
-    assert door.call().body == b"{}"
+    assert harness.call().body == b"{}"
 
 
-def test_100_continue_is_not_sent_if_no_body_may_follow(door: Door) -> None:
+def test_100_continue_is_not_sent_if_no_body_may_follow(harness: FrontHarness) -> None:
     expect = b"\r\nExpect: 100-continue\r\n\r\n"
-    assert Caller(door.address).send(GET[:-4] + expect).answer()[0] == 200
-    assert Caller(door.address).send(LONG + b"999999" + expect).answer()[0] == 413
+    assert Caller(harness.address).send(GET[:-4] + expect).answer()[0] == 200
+    assert Caller(harness.address).send(LONG + b"999999" + expect).answer()[0] == 413
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -9,22 +9,22 @@
 import pytest
 
 from spokeroute.common.answers import Answer
-from tests.door import GET, LONG, Caller, Door
+from tests.front_harness import GET, LONG, Caller, FrontHarness
 
 READY = b"GET /health/up HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
 @pytest.fixture
-def doors() -> Iterator[Callable[..., Door]]:
-    made: list[Door] = []
+def doors() -> Iterator[Callable[..., FrontHarness]]:
+    made: list[FrontHarness] = []
 
-    def make(**times: Any) -> Door:
-        made.append(Door(**times))
+    def make(**times: Any) -> FrontHarness:
+        made.append(FrontHarness(**times))
         return made[-1]
 
     yield make
-    for door in made:
-        door.close()
+    for harness in made:
+        harness.close()
 
 
 def until(said: Callable[[], bool]) -> None:
@@ -34,49 +34,49 @@
         time.sleep(0.005)
 
 
-def test_it_announces_and_serves_on(doors: Callable[..., Door]) -> None:
-    door = doors(announce_ms=600)
-    kept, ready = Caller(door.address), Caller(door.ready_address)
+def test_it_announces_and_serves_on(doors: Callable[..., FrontHarness]) -> None:
+    harness = doors(announce_ms=600)
+    kept, ready = Caller(harness.address), Caller(harness.ready_address)
     assert kept.send(GET).answer()[0] == 200
     assert ready.send(READY).answer()[0] == 200
-    door.stop()
+    harness.stop()
     assert ready.send(READY).answer()[0] == 503  # at once
-    for caller in (kept, Caller(door.address)):
+    for caller in (kept, Caller(harness.address)):
         status, headers, _ = caller.send(GET).answer()
         assert status == 200 and "connection" not in headers
     assert kept.closed()  # idle, when the time is over
-    door.thread.join(20)
-    assert not door.thread.is_alive()
+    harness.thread.join(20)
+    assert not harness.thread.is_alive()
 
 
 def test_what_was_read_in_part_is_served_and_what_comes_later_refused(
-    doors: Callable[..., Door],
+    doors: Callable[..., FrontHarness],
 ) -> None:
-    door = doors()
-    door.hold()
-    open_, half, late = (Caller(door.address) for _ in range(3))
+    harness = doors()
+    harness.hold()
+    open_, half, late = (Caller(harness.address) for _ in range(3))
     open_.send(GET)
-    first = door.call()
+    first = harness.call()
     half.send(LONG + b"4\r\n\r\nab")
-    twice = Caller(door.address).send(GET)
-    second = door.call()
+    twice = Caller(harness.address).send(GET)
+    second = harness.call()
     twice.send(GET)  # read, while the first one has no answer yet
-    channels = door.front.listener.active_channels if door.front.listener else {}
+    channels = harness.front.listener.active_channels if harness.front.listener else {}
     until(lambda: any(c.request is not None for c in channels.values()))
     until(lambda: any(len(c.requests) == 2 for c in channels.values()))
-    door.stop()
-    until(lambda: door.front.closing)
-    for caller in (late, Caller(door.address)):
+    harness.stop()
+    until(lambda: harness.front.closing)
+    for caller in (late, Caller(harness.address)):
         status, headers, body = caller.send(GET).answer()
         assert status == 503 and b'"ran": "no"' in body
         assert headers["connection"] == "close" and float(headers["retry-after"]) > 0
         assert caller.closed()
-    door.answer = lambda call: Answer(200, (), call.body)
+    harness.answer = lambda call: Answer(200, (), call.body)
     half.send(b"cd")
     status, headers, body = half.answer()
     assert (status, body, headers["connection"]) == (200, b"abcd", "close")
     for call in (first, second):
-        door.reply(call.slot, Answer(200, (), b"done"))
+        harness.reply(call.slot, Answer(200, (), b"done"))
     status, headers, _ = open_.answer()
     assert status == 200 and headers["connection"] == "close"
     assert "connection" not in twice.answer()[1]
@@ -84,45 +84,45 @@
     for caller in (half, open_, twice):
         assert caller.closed()
         caller.sock.close()
-    door.thread.join(20)
-    assert not door.thread.is_alive()
+    harness.thread.join(20)
+    assert not harness.thread.is_alive()
 
 
-def test_a_large_answer_leaves_whole(doors: Callable[..., Door]) -> None:
-    door = doors()
+def test_a_large_answer_leaves_whole(doors: Callable[..., FrontHarness]) -> None:
+    harness = doors()
     body = b"x" * 30_000_000
-    door.answer = lambda call: Answer(200, (), body)
-    caller = Caller(door.address)
+    harness.answer = lambda call: Answer(200, (), body)
+    caller = Caller(harness.address)
     caller.send(GET)
-    door.call()
-    door.stop()
-    until(lambda: door.front.closing)
+    harness.call()
+    harness.stop()
+    until(lambda: harness.front.closing)
     assert caller.answer()[2] == body and caller.closed()
 
 
-def test_at_the_end_of_the_grace_everybody_is_answered(doors: Callable[..., Door]) -> None:
-    door = doors(grace_ms=1_400)
-    door.hold()
-    open_, half = Caller(door.address).send(GET), Caller(door.address).send(GET[:-2])
-    call = door.call()
+def test_at_the_end_of_the_grace_everybody_is_answered(doors: Callable[..., FrontHarness]) -> None:
+    harness = doors(grace_ms=1_400)
+    harness.hold()
+    open_, half = Caller(harness.address).send(GET), Caller(harness.address).send(GET[:-2])
+    call = harness.call()
     stopped_s = time.monotonic()
-    door.stop()
+    harness.stop()
     status, headers, body = open_.answer()
     assert status == 504 and b'"ran": "maybe"' in body and headers["connection"] == "close"
     status, headers, body = half.answer()
     assert status == 503 and b'"ran": "no"' in body and headers["connection"] == "close"
     assert open_.closed() and half.closed()
-    door.reply(call.slot, Answer(200, (), b"late"))
-    door.thread.join(20)
-    assert time.monotonic() - stopped_s >= 0.4 and not door.thread.is_alive()
+    harness.reply(call.slot, Answer(200, (), b"late"))
+    harness.thread.join(20)
+    assert time.monotonic() - stopped_s >= 0.4 and not harness.thread.is_alive()
 
 
-def test_those_before_the_first_proof_are_told(doors: Callable[..., Door]) -> None:
-    door = doors(grace_ms=1_400)
-    door.is_ready = False
-    caller = Caller(door.address).send(GET)
-    until(lambda: bool(door.front.early_requests))
-    door.stop()
+def test_those_before_the_first_proof_are_told(doors: Callable[..., FrontHarness]) -> None:
+    harness = doors(grace_ms=1_400)
+    harness.is_ready = False
+    caller = Caller(harness.address).send(GET)
+    until(lambda: bool(harness.front.early_requests))
+    harness.stop()
     status, _, body = caller.answer()
     assert status == 503 and b'"ran": "no"' in body
-    assert door.calls.empty()
+    assert harness.calls.empty()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -9,12 +9,12 @@
 
 from spokeroute.common.answers import Answer
 from spokeroute.http.wsgi import Limits
-from tests.door import CHUNKED, GET, LONG, Caller, Door
+from tests.front_harness import CHUNKED, GET, LONG, Caller, FrontHarness
 
 
 @pytest.fixture
-def door() -> Iterator[Door]:
-    made = Door()
+def harness() -> Iterator[FrontHarness]:
+    made = FrontHarness()
     yield made
     made.close()
 
@@ -46,44 +46,46 @@
     ],
 )  # fmt: skip
 def test_refused_requests_are_answered_and_not_passed_on(
-    door: Door, data: bytes, status: int
+    harness: FrontHarness, data: bytes, status: int
 ) -> None:
-    caller = Caller(door.address).send(data)
+    caller = Caller(harness.address).send(data)
     got, headers, body = caller.answer()
     assert got == status and headers["connection"] == "close" and b'"ran": "no"' in body
     assert caller.closed()
-    assert Caller(door.address).send(GET).answer()[0] == 200
-    assert door.call().path == "/a" and door.calls.empty()
+    assert Caller(harness.address).send(GET).answer()[0] == 200
+    assert harness.call().path == "/a" and harness.calls.empty()
 
 
-def test_limits_are_inclusive_and_can_change_while_running(door: Door) -> None:
-    caller = Caller(door.address)
+def test_limits_are_inclusive_and_can_change_while_running(harness: FrontHarness) -> None:
+    caller = Caller(harness.address)
     assert caller.send(GET).answer()[0] == 200
-    door.front.limits = Limits(max_header_bytes=100, max_body_bytes=10)
+    harness.front.limits = Limits(max_header_bytes=100, max_body_bytes=10)
     pad = 100 - len(b"PUT / HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\nX: \r\n\r\n")
     head = b"PUT / HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\nX: " + b"y" * pad
     assert caller.send(head + b"\r\n\r\n0123456789").answer()[0] == 200
-    assert Caller(door.address).send(head + b"y\r\n\r\n0123456789").answer()[0] == 431
-    assert Caller(door.address).send(LONG + b"11\r\n\r\n0123456789a").answer()[0] == 413
+    assert Caller(harness.address).send(head + b"y\r\n\r\n0123456789").answer()[0] == 431
+    assert Caller(harness.address).send(LONG + b"11\r\n\r\n0123456789a").answer()[0] == 413
     small = b"".join(b"1\r\n%d\r\n" % n for n in range(10))
     assert caller.send(CHUNKED + small + b"0\r\n\r\n").answer()[0] == 200
-    assert Caller(door.address).send(CHUNKED + small + b"1\r\na\r\n0\r\n\r\n").answer()[0] == 413
-    door.front.limits = Limits()
+    assert Caller(harness.address).send(CHUNKED + small + b"1\r\na\r\n0\r\n\r\n").answer()[0] == 413
+    harness.front.limits = Limits()
     assert caller.send(LONG + b"11\r\n\r\n0123456789a").answer()[0] == 200
 
 
 @pytest.mark.parametrize("part", [b"G", GET[:-2], LONG + b"5\r\n\r\nhell", CHUNKED + b"5\r\nhe"])
-def test_an_incomplete_request_is_answered_after_the_time_out(door: Door, part: bytes) -> None:
-    door.front.limits = Limits(header_timeout_ms=300)
-    caller = Caller(door.address).send(part)
+def test_an_incomplete_request_is_answered_after_the_time_out(
+    harness: FrontHarness, part: bytes
+) -> None:
+    harness.front.limits = Limits(header_timeout_ms=300)
+    caller = Caller(harness.address).send(part)
     status, headers, body = caller.answer()
     assert status == 408 and headers["connection"] == "close" and b'"ran": "no"' in body
-    assert caller.closed() and door.calls.empty()
+    assert caller.closed() and harness.calls.empty()
 
 
-def test_idle_connections_are_closed_after_the_announced_time(door: Door) -> None:
-    door.front.limits = Limits(idle_timeout_ms=1_600)
-    fresh, used = Caller(door.address), Caller(door.address)
+def test_idle_connections_are_closed_after_the_announced_time(harness: FrontHarness) -> None:
+    harness.front.limits = Limits(idle_timeout_ms=1_600)
+    fresh, used = Caller(harness.address), Caller(harness.address)
     headers = used.send(GET).answer()[1]
     answered_s = time.monotonic()
     assert headers["keep-alive"] == "timeout=1"
@@ -91,11 +93,11 @@
     assert fresh.closed()
 
 
-def test_a_connection_with_an_open_call_is_not_idle(door: Door) -> None:
-    door.front.limits = Limits(idle_timeout_ms=300, header_timeout_ms=300)
-    door.hold()
-    busy, idle = Caller(door.address).send(GET), Caller(door.address)
-    call = door.call()
+def test_a_connection_with_an_open_call_is_not_idle(harness: FrontHarness) -> None:
+    harness.front.limits = Limits(idle_timeout_ms=300, header_timeout_ms=300)
+    harness.hold()
+    busy, idle = Caller(harness.address).send(GET), Caller(harness.address)
+    call = harness.call()
     assert idle.closed()  # while the busy connection was left open
-    door.reply(call.slot, Answer(200, (), b"done"))
+    harness.reply(call.slot, Answer(200, (), b"done"))
     assert busy.answer()[0] == 200
--- a/tests/test_old_lives.py
+++ b/tests/test_old_lives.py
@@ -42,7 +42,7 @@
 )
 from tests.sim.acts import holder_of
 from tests.sim.cluster import Sim, configuration
-from tests.test_going_on import watched
+from tests.test_cut_off_exchanges import watched
 from tools import judges, readback
 
 LATE_MS = 10_000
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -33,7 +33,7 @@
     outcomes_line,
     read_outcomes_line,
 )
-from tests.calls_made import call_to
+from tests.call_builders import call_to
 from tests.sim.cluster import Sim
 from tests.test_partial_views import sparse as sparse  # a fixture
 from tools.worth import Told, read_log, reasons
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -25,7 +25,7 @@
     RoomAsk,
     RoomTold,
 )
-from tests.calls_made import call_to
+from tests.call_builders import call_to
 
 ENTRY = NodeId("ex1")
 HOLDER = NodeId("ex2")
--- a/tests/test_second_sends.py
+++ b/tests/test_resends.py
@@ -20,7 +20,7 @@
 from spokeroute.exchange.resend import ResendReason, count_resend, resend_reason
 from spokeroute.exchange.seen import REMEMBER_MS, Seen
 from spokeroute.exchange.types import Attempt, Call
-from tests.calls_made import call_to
+from tests.call_builders import call_to
 from tests.sends_model import Sends
 
 EXAMPLES = 150
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -18,7 +18,7 @@
     Silence,
     look,
 )
-from tests.calls_made import call_to
+from tests.call_builders import call_to
 from tests.sim.cluster import Sim
 from tests.test_scenarios import clean
 
--- a/tests/test_guests.py
+++ b/tests/test_unheld_instances.py
@@ -37,7 +37,7 @@
     Forward,
     Forwarded,
 )
-from tests.calls_made import call_to
+from tests.call_builders import call_to
 from tests.sim.acts import fall_and_return
 from tests.sim.cluster import Sim, configuration
 from tests.test_scenarios import clean
