--- a/spokeroute/exchange/claim_requests.py
+++ b/spokeroute/exchange/claim_requests.py
@@ -20,13 +20,13 @@
 MAX_RETRY_MS = 2_000  # by then, a member gives up the claim by itself
 
 
-def send_claim_request(state: State, call: Call, to: str, now_ms: Ms) -> tuple[State, Effects]:
+def send_claim_request(state: State, call: Call, action: str, now_ms: Ms) -> tuple[State, Effects]:
     """Ask a registry to claim a call's key, or to release it.
 
     Example:
         state, effects = send_claim_request(state, call, "claim", now_ms)
     """
-    op_id = f"{call.request.call_id}/{to}/{state.operation_count}"
+    op_id = f"{call.request.call_id}/{action}/{state.operation_count}"
     state = replace(state, operation_count=state.operation_count + 1)
     requests = (*call.claim_requests, ClaimRequest(op_id, now_ms))
     call = replace(call, claim_requests=requests, claim_request_count=call.claim_request_count + 1)
@@ -39,7 +39,7 @@
         return state, ()
     first = sum(call.request.call_id.encode())  # each request goes to the next registry
     node = registries[(first + call.claim_request_count) % len(registries)]
-    return state, (Send(node, claim_message(call, op_id, to, now_ms)),)
+    return state, (Send(node, claim_message(call, op_id, action, now_ms)),)
 
 
 def retry_due(state: State, call: Call, now_ms: Ms) -> bool:
