--- a/spokeroute/exchange/call_transitions.py
+++ b/spokeroute/exchange/call_transitions.py
@@ -333,5 +333,5 @@
     state, call, attempt = end_attempt(state, attempt_id)
     if call is None or attempt is None:
         return state, ()
-    call = replace(call, unsent=True, reason=Cause.DOWN.said("its holder can't be reached"))
+    call = replace(call, unsent=True, reason=Cause.DOWN.with_detail("its holder can't be reached"))
     return continue_call(state, call, now_ms)
--- a/spokeroute/exchange/claim_requests.py
+++ b/spokeroute/exchange/claim_requests.py
@@ -93,5 +93,7 @@
 
 def _record_round_trip(state: State, took_ms: float) -> State:
     round_trip = state.claim_round_trip
-    sampled = round_trip.sampled(took_ms) if round_trip is not None else RoundTrip.first(took_ms)
+    sampled = (
+        round_trip.with_sample(took_ms) if round_trip is not None else RoundTrip.first(took_ms)
+    )
     return replace(state, claim_round_trip=sampled)
--- a/spokeroute/exchange/rank.py
+++ b/spokeroute/exchange/rank.py
@@ -1,7 +1,7 @@
 """The urgency of a call: by its tenant's priority, then by its route's; 0 is the most urgent.
 
-Ranks decide the order in a holder's queue (``held_instance.in_turn``), not admission to it: under
-load, urgent calls wait for a shorter time, but no more of them are admitted.
+Ranks decide the order in a holder's queue (``held_instance.dispatch_order``), not admission to it:
+under load, urgent calls wait for a shorter time, but no more of them are admitted.
 """
 
 from __future__ import annotations
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -20,9 +20,9 @@
 from spokeroute.common.answers import Ran
 from spokeroute.common.clock import monotonic_ms
 from spokeroute.common.ids import Ms
-from spokeroute.exchange.sender import Line, Sender
+from spokeroute.exchange.sender import InstanceConnection, Sender
 from spokeroute.exchange.types import AttemptDone, SendAttempt
-from spokeroute.http.reader import Lines, Response, UntrustedError
+from spokeroute.http.reader import BoundedReader, Response, UntrustedError
 from tests.scripted_instance import CERTAIN, How, Instance, body_of, chunked, reply
 from tests.test_edge import send_attempt
 from tests.test_sender_dialect import DIALECT
@@ -118,9 +118,9 @@
         def __ne__(self, other: object) -> bool:
             return False
 
-    honest = Response.one
+    honest = Response.header_value
     patch.setattr(
-        Response, "one",
+        Response, "header_value",
         lambda self, name: Same("") if name == "Attempt" else honest(self, name),
     )  # fmt: skip
 
@@ -128,25 +128,27 @@
 def fault_same_connection(patch: pytest.MonkeyPatch) -> None:
     """Fault: a refused call is sent again over the connection that it was refused on."""
     never = property(lambda self: set(), lambda self, value: None)
-    patch.setattr(Line, "turned_away", never, raising=False)
+    patch.setattr(InstanceConnection, "rejected_attempts", never, raising=False)
 
 
 def fault_resend_after_lost_answer(patch: pytest.MonkeyPatch) -> None:
     """Fault: after a lost answer the request is sent again."""
-    honest = Sender._exchange
+    honest = Sender._send_and_receive
 
-    def exchange(self: Sender, job: SendAttempt, line: Line) -> AttemptDone:
+    def exchange(self: Sender, job: SendAttempt, line: InstanceConnection) -> AttemptDone:
         try:
             return honest(self, job, line)
         except OSError:
-            return honest(self, job, self._line(job, 1.0))
+            return honest(self, job, self._connection(job, 1.0))
 
-    patch.setattr(Sender, "_exchange", exchange)
+    patch.setattr(Sender, "_send_and_receive", exchange)
 
 
 def fault_cut_line_accepted(patch: pytest.MonkeyPatch) -> None:
     """Fault: a line is accepted though it is cut off."""
-    patch.setattr(Lines, "readline", lambda self, most_bytes=65536: self.raw.readline(most_bytes))
+    patch.setattr(
+        BoundedReader, "readline", lambda self, most_bytes=65536: self.raw.readline(most_bytes)
+    )
 
 
 @pytest.mark.parametrize(
@@ -167,8 +169,8 @@
         shuffled(600)
 
 
-def only_line(bench: Bench) -> Line:
-    ((line,),) = bench.sender.idle.values()
+def only_line(bench: Bench) -> InstanceConnection:
+    ((line,),) = bench.sender.idle_connections.values()
     return line
 
 
@@ -186,7 +188,7 @@
 def test_reuse_of_a_connection_with_unexpected_bytes_is_noticed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(Line, "spoken", False)
+    monkeypatch.setattr(InstanceConnection, "has_unread_data", False)
     bench = Bench([(How.WHOLE, 0), (How.WHOLE, 0)])
     assert bench.judged("c0").ran == Ran.YES
     bench.instance.sockets[0].sendall(reply("c1", b"not yet asked"))
@@ -208,10 +210,10 @@
 
 
 def test_a_connection_that_refused_many_calls_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("spokeroute.exchange.sender.MOST_TURNED_AWAY", 2)
+    monkeypatch.setattr("spokeroute.exchange.sender.MAX_REJECTED_ATTEMPTS", 2)
     bench = Bench([(How.AWAY, 0)] * 2)
     assert [bench.judged(f"c{n}").ran for n in range(2)] == [Ran.NO] * 2
-    assert bench.sender.idle == {("r-1", bench.instance.address): []}
+    assert bench.sender.idle_connections == {("r-1", bench.instance.address): []}
     bench.close()
 
 
@@ -219,8 +221,8 @@
     bench = Bench([(How.WHOLE, 0)])
     bench.judged("c0")
     kept = only_line(bench)
-    bench.sender._sweep(kept.idle_since + 21.0)
-    assert bench.sender.idle == {} and kept.conn.sock is None
+    bench.sender._evict_idle(kept.idle_since + 21.0)
+    assert bench.sender.idle_connections == {} and kept.conn.sock is None
     bench.close()
 
 
@@ -242,8 +244,8 @@
         theirs.shutdown(socket.SHUT_WR)
         answer = Response(ours, method=method)
         answer.begin()
-        body = answer.whole(4096, method)
-        more = answer.surplus(ours)
+        body = answer.read_body(4096, method)
+        more = answer.has_surplus(ours)
         answer.close()
         return body, more
 
@@ -284,13 +286,13 @@
 def test_an_answer_that_arrives_in_small_pieces_ends_with_the_wait() -> None:
     """Also its head: each piece arrives within the socket's time-out, but not the whole."""
     head = BufferedReader(BytesIO(b"HTTP/1.1 200 X\r\n"))
-    assert Lines(head, monotonic_ms() + 60_000).readline() == b"HTTP/1.1 200 X\r\n"
+    assert BoundedReader(head, monotonic_ms() + 60_000).readline() == b"HTTP/1.1 200 X\r\n"
     with pytest.raises(UntrustedError, match="in time"):
-        Lines(BufferedReader(BytesIO(b"done\r\n")), 1).readline()
+        BoundedReader(BufferedReader(BytesIO(b"done\r\n")), 1).readline()
     with pytest.raises(UntrustedError, match="in time"):
-        Lines(BufferedReader(BytesIO(b"done\r\n")), 1).read(4)
+        BoundedReader(BufferedReader(BytesIO(b"done\r\n")), 1).read(4)
     endless = BufferedReader(BytesIO(b"X-A: b\r\n" * 100_000))
-    lines = Lines(endless)
+    lines = BoundedReader(endless)
     with pytest.raises(UntrustedError, match="out of bounds"):
         while lines.readline():
             pass
@@ -304,7 +306,7 @@
             theirs.sendall(data)
             answer = Response(ours, method="GET")
             answer.begin()
-            assert answer.whole(4096) == b"done"
-            assert answer.surplus(ours) is more
+            assert answer.read_body(4096) == b"done"
+            assert answer.has_surplus(ours) is more
             ours.settimeout(10)
     assert read(good)[1] is True  # the peer closed
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -15,7 +15,12 @@
 from spokeroute.exchange.backlog import MIN_QUEUE_CALLS, MIN_QUEUE_MS, Backlog
 from spokeroute.exchange.budget import Budget
 from spokeroute.exchange.call_transitions import NO_ROOM_LIMIT_MS
-from spokeroute.exchange.held_instance import QUEUED_TOLD_MS, Handed, HeldInstance, Waiting
+from spokeroute.exchange.held_instance import (
+    QUEUED_NOTICE_MS,
+    DispatchedAttempt,
+    HeldInstance,
+    QueuedCall,
+)
 from spokeroute.exchange.reasons import BUSY, LEFT_QUEUE, NO_ROOM_IN_TIME
 from spokeroute.exchange.types import Call, Phase, Revoke, Tables
 from spokeroute.transport.call_messages import (
@@ -37,15 +42,15 @@
     return replace(Placed(*row), **changes)
 
 
-def waiting(name: str, left_ms: int = 5_000) -> Waiting:
+def waiting(name: str, left_ms: int = 5_000) -> QueuedCall:
     forward = Forward(name, "s", "i", 1, "GET", "/x", (), b"", left_ms, "")
-    return Waiting(forward, ENTRY, Ms(left_ms))
+    return QueuedCall(forward, ENTRY, Ms(left_ms))
 
 
-def held(*queue: Waiting, run_ms: float = 500.0) -> HeldInstance:
+def held(*queue: QueuedCall, run_ms: float = 500.0) -> HeldInstance:
     """An instance with one slot, which is taken by a running call."""
-    handed = Map({"runs": Handed("runs", ENTRY, Ms(0))})
-    return HeldInstance(placed("i"), queue=queue, handed=handed, run_ms=run_ms)
+    handed = Map({"runs": DispatchedAttempt("runs", ENTRY, Ms(0))})
+    return HeldInstance(placed("i"), queue=queue, in_flight=handed, run_ms=run_ms)
 
 
 def entry_with(
@@ -65,9 +70,9 @@
     def without_room(left_ms: int, run_ms: float = 500.0) -> HeldInstance | None:
         last = waiting("c4", left_ms)
         queue = (*(waiting(f"c{n}") for n in range(4)), last)
-        return held(*queue, run_ms=run_ms).without_room_for(last.forward)
+        return held(*queue, run_ms=run_ms).without_unservable(last.forward)
 
-    assert held().turn_ms(4) == 2_250.0
+    assert held().estimated_wait_ms(4) == 2_250.0
     assert without_room(2_900) is None
     left = without_room(2_700)
     assert left is not None and [w.forward.attempt_id for w in left.queue] == [
@@ -84,11 +89,13 @@
 def test_a_queued_call_is_reported_once_but_not_while_its_instance_starts() -> None:
     instance = held(waiting("c"))
     call = instance.queue[0]
-    assert not instance.tells(call, Ms(QUEUED_TOLD_MS - 1))
-    assert instance.tells(call, Ms(QUEUED_TOLD_MS))
-    assert not instance.tells(replace(call, told=True), Ms(QUEUED_TOLD_MS))
+    assert not instance.should_notify_entry(call, Ms(QUEUED_NOTICE_MS - 1))
+    assert instance.should_notify_entry(call, Ms(QUEUED_NOTICE_MS))
+    assert not instance.should_notify_entry(
+        replace(call, entry_notified=True), Ms(QUEUED_NOTICE_MS)
+    )
     starting = replace(instance, placed=placed("i", state=STARTING))
-    assert not starting.tells(call, Ms(QUEUED_TOLD_MS))
+    assert not starting.should_notify_entry(call, Ms(QUEUED_NOTICE_MS))
 
 
 def test_only_a_call_that_is_still_queued_is_given_back() -> None:
@@ -103,7 +110,7 @@
         state, From(ENTRY, Incarnation(1), ForwardDrop("queued", queued_only=True)), Ms(300)
     )
     assert effects == (Send(ENTRY, Forwarded("queued", "no", LEFT_QUEUE, 0, (), b"")),)
-    assert after.instances["i"].queue == () and "runs" in after.instances["i"].handed
+    assert after.instances["i"].queue == () and "runs" in after.instances["i"].in_flight
 
 
 def test_room_is_requested_only_where_it_is_likely_and_not_at_every_tick() -> None:
