--- a/spokeroute/exchange/lost_holders.py
+++ b/spokeroute/exchange/lost_holders.py
@@ -9,8 +9,8 @@
 from spokeroute.common.effects import Effect, Effects, Send, Unreached
 from spokeroute.common.ids import Ms
 from spokeroute.common.replacing import replace
-from spokeroute.exchange.entry import State
-from spokeroute.exchange.moves import lose_attempt, unsent_attempt
+from spokeroute.exchange.call_state import State
+from spokeroute.exchange.call_transitions import lose_attempt, unsent_attempt
 from spokeroute.exchange.reasons import Cause
 from spokeroute.exchange.silent_holders import check_holders
 from spokeroute.exchange.types import LinkDown
@@ -80,7 +80,7 @@
     effects.extend(Unreached(node) for node in silent)
     for call in calls:
         for attempt_id, each in call.attempts.items():
-            if each.holder in silent and not call.once:
+            if each.holder in silent and not call.at_most_once:
                 state, more = lose_attempt(
                     state, attempt_id, Cause.LOST.with_detail("its holder is silent"), now_ms
                 )
--- a/spokeroute/exchange/open_calls.py
+++ b/spokeroute/exchange/open_calls.py
@@ -1,4 +1,4 @@
-"""What the callers' door keeps of requests that it has not answered."""
+"""What the HTTP front keeps of requests that it has not answered."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 
 @dataclass(slots=True)
-class Open:
-    """A call that was handed to the loop."""
+class OpenCall:
+    """A call that was posted to the loop."""
 
     connection: Connection
     slot: SlotId
@@ -18,9 +18,9 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Early:
-    """A request that came before this process's first proof, and until when it may wait."""
+class EarlyRequest:
+    """A request that arrived before this process's first proof, and until when it may wait."""
 
     connection: Connection
-    came_ms: int
+    received_ms: int
     until_ms: int
--- a/tests/test_slow_claims.py
+++ b/tests/test_slow_claims.py
@@ -16,7 +16,7 @@
 from spokeroute.common.effects import Effects, From, Reply, Send, Tick
 from spokeroute.common.ids import Incarnation, Ms, NodeId
 from spokeroute.exchange import calls
-from spokeroute.exchange.entry import State
+from spokeroute.exchange.call_state import State
 from spokeroute.exchange.types import Call, Phase
 from spokeroute.transport.messages import ClaimAsk, ClaimGot
 from tests.sim.cluster import Sim
@@ -67,7 +67,7 @@
     sim.call("/corrections", sim.exchanges[0], key="k", wait_ms=20_000)
     for _ in range(100):
         state: State = sim.exchanges[0].state("calls")
-        if any(call.claim_asks for call in state.calls.values()):
+        if any(call.claim_requests for call in state.calls.values()):
             return state
         sim.run(1)
     raise AssertionError("no claim was asked for")
@@ -108,10 +108,10 @@
     state, _ = waited(claiming(sim), 1_000)
     call = only(state)
     now_ms = Ms(call.start_ms + 1_000)
-    assert len(call.claim_asks) == 3
-    state, effects = told(state, call.claim_asks[0].op_id, True, call.ask.call_id, now_ms)
+    assert len(call.claim_requests) == 3
+    state, effects = told(state, call.claim_requests[0].op_id, True, call.request.call_id, now_ms)
     assert only(state).claimed and only(state).phase != Phase.CLAIMING
-    assert not state.op_of, "the other requests are forgotten"
+    assert not state.slot_of_claim, "the other requests are forgotten"
     assert not any(isinstance(each, Reply) for each in effects)
 
 
@@ -120,30 +120,32 @@
     state, _ = waited(claiming(sim), 400)
     call = only(state)
     now_ms = Ms(call.start_ms + 400)
-    first, last = call.claim_asks
+    first, last = call.claim_requests
     state, effects = told(state, first.op_id, False, "another", now_ms)
     assert only(state).phase == Phase.CLAIMING
     assert not effects
     state, effects = told(state, last.op_id, False, "another", now_ms)
     (reply,) = [each for each in effects if isinstance(each, Reply)]
     assert reply.answer.status == 409
-    assert not state.calls and not state.op_of
+    assert not state.calls and not state.slot_of_claim
 
 
 def test_the_wait_adapts_to_recent_claim_times(sim: Sim) -> None:
     state, _ = waited(claiming(sim), 1_000)
     call = only(state)
     state, _ = told(
-        state, call.claim_asks[0].op_id, True, call.ask.call_id, Ms(call.start_ms + 1_000)
+        state, call.claim_requests[0].op_id, True, call.request.call_id, Ms(call.start_ms + 1_000)
     )
-    assert state.claim_trip is not None
-    assert state.claim_trip.smoothed_ms == 1_000
+    assert state.claim_round_trip is not None
+    assert state.claim_round_trip.smoothed_ms == 1_000
 
 
 def test_calls_that_wait_for_claims_are_not_counted_as_queued(sim: Sim) -> None:
     state = claiming(sim)
     service = only(state).service.name
-    assert state.backlog.open[service].in_line == 0
+    assert state.backlog.open[service].admitted == 0
     call = only(state)
-    state, _ = told(state, call.claim_asks[0].op_id, True, call.ask.call_id, Ms(call.start_ms + 20))
-    assert state.backlog.open[service].in_line == state.backlog.count(service) == 1
+    state, _ = told(
+        state, call.claim_requests[0].op_id, True, call.request.call_id, Ms(call.start_ms + 20)
+    )
+    assert state.backlog.open[service].admitted == state.backlog.count(service) == 1
