--- a/spokeroute/figures.py
+++ b/spokeroute/figures.py
@@ -114,7 +114,7 @@
         )
 
     def _traffic(self, for_s: float) -> str:
-        waiting = max((wire.out_bytes for wire in self.loop.out.values()), default=0)
+        waiting = max((connection.queued_bytes for connection in self.loop.out.values()), default=0)
         return (
             f"waiting_kb={waiting // KILO} sent {told(self.process.sent.taken(), for_s)} "
             f"received {told(self.process.got.taken(), for_s)}"
--- a/spokeroute/register/replica/proof.py
+++ b/spokeroute/register/replica/proof.py
@@ -19,7 +19,7 @@
 from spokeroute.register.replica.value_requests import OpenRequest
 from spokeroute.register.value_metadata import number_of
 from spokeroute.transport.messages import Copy
-from spokeroute.transport.peers import CopiesNow
+from spokeroute.transport.peers import CopiesChanged
 
 LEASE_MS = 2_000
 MAX_PENDING_PROOFS = 16
@@ -191,7 +191,7 @@
     effects.extend(Tell(name, fresh) for name in state.listeners)
     if changed:
         copies = tuple(in_force[n].copy for n in sorted(in_force))
-        effects.append(Tell("peers", CopiesNow(copies)))
+        effects.append(Tell("peers", CopiesChanged(copies)))
         if ROSTER in in_force:
             roster = unpack_roster(in_force[ROSTER].value)
             if state.roster is None or roster.epoch > state.roster.epoch:
--- a/spokeroute/reread.py
+++ b/spokeroute/reread.py
@@ -9,7 +9,7 @@
 from spokeroute.common.ids import Address
 from spokeroute.common.settings import Settings, SettingsError
 from spokeroute.ledger.ring import RingLog
-from spokeroute.transport.peers import SeedsNow
+from spokeroute.transport.peers import SeedsChanged
 from spokeroute.transport.process import Process
 
 EVERY_S = 2.0
@@ -62,4 +62,4 @@
             return
         if seeds and seeds != self.seeds:
             self.seeds = seeds
-            self.process.post("peers", SeedsNow(tuple(Address(s) for s in seeds)))
+            self.process.post("peers", SeedsChanged(tuple(Address(s) for s in seeds)))
--- a/spokeroute/transport/traffic.py
+++ b/spokeroute/transport/traffic.py
@@ -32,11 +32,11 @@
         Example:
             counter.count("Probe", len(frame))
         """
-        known = self._kinds.get(kind)
-        if known is None:
-            known = self._kinds[kind] = Traffic()
-        known.frames += 1
-        known.size_bytes += size_bytes
+        traffic = self._kinds.get(kind)
+        if traffic is None:
+            traffic = self._kinds[kind] = Traffic()
+        traffic.frames += 1
+        traffic.size_bytes += size_bytes
 
     def taken(self) -> dict[str, Traffic]:
         """What was counted since this was asked last.
--- a/tests/sim/world.py
+++ b/tests/sim/world.py
@@ -161,7 +161,7 @@
 
     def life_at(self, address: Address) -> Incarnation | None:
         """The newest life that was heard at an address."""
-        lives = self.process.lives.get(address, ()) if self.process is not None else ()
+        lives = self.process.incarnations.get(address, ()) if self.process is not None else ()
         return lives[0] if lives else None
 
     def refused(self, there: Node, life: Incarnation | None) -> None:
--- a/tests/test_bytes.py
+++ b/tests/test_bytes.py
@@ -13,7 +13,7 @@
 from spokeroute.register.replica import replica
 from spokeroute.register.replica.replica import Reports
 from spokeroute.transport.messages import Copy, Probe, ProbeAck, ViewEntry
-from spokeroute.transport.peers import GossipHeard, ViewNow
+from spokeroute.transport.peers import GossipReceived, ViewNow
 from tests.sim.cluster import Sim
 
 LIFE = Incarnation(1)
@@ -95,7 +95,7 @@
 
 def test_peers_are_not_asked_for_values_that_the_members_send() -> None:
     state = replace(with_roster(replica_in_centre()), proved_ms=Ms(1_000))
-    heard = GossipHeard(NodeId("ex2"), (Copy("floor", 7, "d", 7, "m1"),))
+    heard = GossipReceived(NodeId("ex2"), (Copy("floor", 7, "d", 7, "m1"),))
     assert replica.step(state, heard, Ms(1_300))[1] == ()
     asks = replica.step(state, heard, Ms(3_000))[1]
     assert [type(e.message).__name__ for e in asks if isinstance(e, Send)] == ["FetchAsk"]
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -24,7 +24,14 @@
 from spokeroute.register.acceptor.acceptor import DiskWrite
 from spokeroute.register.cells import Cell
 from spokeroute.register.disk.disk import Disk, DiskError
-from spokeroute.transport.frames import MAX_FRAME_BYTES, Envelope, FrameError, cut, decode, encode
+from spokeroute.transport.frames import (
+    MAX_FRAME_BYTES,
+    Envelope,
+    FrameError,
+    decode,
+    encode,
+    split_frames,
+)
 from spokeroute.transport.messages import Finish
 
 IDENTITY = b'{"service":"readings","instance":"r-1"}'
@@ -152,14 +159,14 @@
 def test_malformed_frames_are_rejected() -> None:
     frame = encode(Envelope("a", 1, "h:1", "b", Finish("floor")))
     assert decode(frame).message == Finish("floor")
-    assert cut(frame + frame[:7]) == ([frame], frame[:7])
+    assert split_frames(frame + frame[:7]) == ([frame], frame[:7])
     for bad in (frame[:-1], frame[:3], frame[:5] + b"\xff" * (len(frame) - 5)):
         with pytest.raises(FrameError):
             decode(bad)
     with pytest.raises(FrameError, match="schema version"):
-        cut(frame[:4] + b"\x63" + frame[5:])
+        split_frames(frame[:4] + b"\x63" + frame[5:])
     with pytest.raises(FrameError, match="over"):
-        cut((MAX_FRAME_BYTES + 1).to_bytes(4, "big") + frame[4:5])
+        split_frames((MAX_FRAME_BYTES + 1).to_bytes(4, "big") + frame[4:5])
 
 
 def test_invalid_configurations_list_every_fault() -> None:
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -13,19 +13,19 @@
     Forward,
     Ping,
 )
-from spokeroute.transport.frames import Envelope, cut, decode, encode
+from spokeroute.transport.frames import Envelope, decode, encode, split_frames
 from spokeroute.transport.net import (
-    CONNECT_MS,
-    LARGE_BYTES,
-    MAX_OUT_BYTES,
+    CONNECT_TIMEOUT_MS,
+    LARGE_QUEUE_BYTES,
+    MAX_QUEUED_BYTES,
+    Connection,
     Loop,
-    Wire,
     attempts_in,
 )
 from spokeroute.transport.process import Me, Process
 from tests.test_partial_views import Recorder
 
-OLD = Ms(CONNECT_MS + 100)
+OLD = Ms(CONNECT_TIMEOUT_MS + 100)
 
 
 def frame(attempt_id: str, body: bytes = b"") -> bytes:
@@ -40,12 +40,12 @@
         self.server = server
         self.address = Address(f"127.0.0.1:{server.getsockname()[1]}")
         self.loop = Loop(Address("127.0.0.1:0"))
-        self.loop.books = ({NodeId("ex2"): self.address},)
+        self.loop.address_books = ({NodeId("ex2"): self.address},)
         self.lost: list[tuple[str, bool, frozenset[str]]] = []
         self.loop.lost = lambda node, reached, unsent: self.lost.append((node, reached, unsent))
 
     @property
-    def wire(self) -> Wire:
+    def wire(self) -> Connection:
         return self.loop.out[self.address]
 
     def age(self) -> None:
@@ -76,7 +76,7 @@
         peer, _ = told.server.accept()
         with peer:
             got = peer.recv(65536)
-    assert attempts_in(cut(got)[0]) == {"c2.0"}
+    assert attempts_in(split_frames(got)[0]) == {"c2.0"}
 
 
 def test_what_left_whole_is_lost_and_what_did_not_is_unsent(told: Told) -> None:
@@ -92,7 +92,7 @@
     big = frame("c1.0", b"x" * (8 * 1024 * 1024 - 4096))
     told.loop.send(told.address, big)
     told.loop._flush(told.wire)
-    assert 0 < told.wire.begun_bytes < len(big)
+    assert 0 < told.wire.head_sent_bytes < len(big)
     assert decode(told.wire.outbound[0]).message.attempt_id == "c1.0"
     told.loop._close(told.wire)
     assert told.lost == [("ex2", True, frozenset({"c1.0"}))]
@@ -100,7 +100,7 @@
 
 def test_what_a_peer_cannot_keep_up_with_is_unsent(told: Told) -> None:
     body = b"x" * (6 * 1024 * 1024)
-    for number in range(1 + MAX_OUT_BYTES // len(body)):
+    for number in range(1 + MAX_QUEUED_BYTES // len(body)):
         told.loop.send(told.address, frame(f"c{number}.0", body))
     assert told.lost == [("ex2", False, frozenset({"c0.0", "c1.0", "c2.0"}))]
 
@@ -117,16 +117,16 @@
     told: Told, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Each stays under its own bound; together they don't, and the one with most is given up."""
-    monkeypatch.setattr(net, "MOST_WAITING_BYTES", 8 * LARGE_BYTES)
-    body = b"x" * (LARGE_BYTES + 1)
+    monkeypatch.setattr(net, "MAX_TOTAL_QUEUED_BYTES", 8 * LARGE_QUEUE_BYTES)
+    body = b"x" * (LARGE_QUEUE_BYTES + 1)
     others = [socket.create_server(("127.0.0.1", 0)) for _ in range(4)]
     addresses = [Address(f"127.0.0.1:{other.getsockname()[1]}") for other in others]
     for number, address in enumerate(addresses):
-        told.loop.books = ({**told.loop.books[0], NodeId(f"o{number}"): address},)
+        told.loop.address_books = ({**told.loop.address_books[0], NodeId(f"o{number}"): address},)
         for turn in range(3 if number == 2 else 2):
             told.loop.send(address, frame(f"{number}.{turn}", body))
     assert [(name, len(unsent)) for name, _, unsent in told.lost] == [("o2", 3)]
-    assert sum(wire.out_bytes for wire in told.loop.out.values()) <= 8 * LARGE_BYTES
+    assert sum(wire.queued_bytes for wire in told.loop.out.values()) <= 8 * LARGE_QUEUE_BYTES
     for other in others:
         other.close()
 
@@ -134,15 +134,15 @@
 def test_a_refused_connection_names_the_life_heard_before_it_was_dialled(told: Told) -> None:
     refused: list[tuple[str, int]] = []
     told.loop.refused = lambda node, life: refused.append((node, life))
-    told.loop.lives = {told.address: (Incarnation(7), Incarnation(6))}
+    told.loop.incarnations = {told.address: (Incarnation(7), Incarnation(6))}
     told.server.close()
     told.loop.send(told.address, frame("c1.0"))
-    told.loop.lives = {told.address: (Incarnation(8),)}  # heard before the refusal is read
+    told.loop.incarnations = {told.address: (Incarnation(8),)}  # heard before the refusal is read
     me = Me(NodeId("ex1"), Incarnation(1), Address("h:1"), "exchange", "z")
     process = Process(me, Recorder())  # type: ignore[arg-type]
     for _ in range(100):
         for key, mask in told.loop.selector.select(0.1):
-            if isinstance(key.data, Wire):
+            if isinstance(key.data, Connection):
                 told.loop._serve(key.data, mask, process)
         if refused:
             break
@@ -152,5 +152,5 @@
 def test_nothing_is_said_of_one_that_was_never_heard(told: Told) -> None:
     refused: list[tuple[str, int]] = []
     told.loop.refused = lambda node, life: refused.append((node, life))
-    told.loop._tell_refused(told.address, None)
+    told.loop._report_refused(told.address, None)
     assert refused == []
--- a/tests/test_partial_views.py
+++ b/tests/test_partial_views.py
@@ -64,7 +64,7 @@
 def test_a_nodes_own_address_overrides_one_from_others() -> None:
     here, world = process()
     here.perform("calls", Send(NodeId("ex2"), Ping(), THERE))
-    here.met[NodeId("ex2")] = Address("10.9.0.2:1")
+    here.sender_addresses[NodeId("ex2")] = Address("10.9.0.2:1")
     here.perform("calls", Send(NodeId("ex2"), Ping()))
     assert [address for address, _ in world.sent] == [THERE, "10.9.0.2:1"]
 
@@ -74,7 +74,7 @@
     """Twelve exchanges that know three others each; services that boot for longer than the silence
     time-out."""
     monkeypatch.setattr(peers, "VIEW_SIZE", 4)
-    monkeypatch.setattr(peers, "PART_SIZE", 2)
+    monkeypatch.setattr(peers, "SHUFFLE_SIZE", 2)
     bounds = Bounds(rejection_safe=True, stop_drains=True, stale_ms=9_000)
     sim = Sim(request.param, 12, bounds=bounds)
     sim.platform.own_names = True
--- a/tests/test_reread.py
+++ b/tests/test_reread.py
@@ -63,7 +63,7 @@
 def test_seeds_change_whom_it_asks() -> None:
     me = Me(NodeId("a"), 1, Address("10.0.0.9:1"), "exchange", "north")  # type: ignore[arg-type]
     state = peers.State(me, (Address("10.0.0.1:1"),), 1, (), "replica")
-    state, _ = peers.step(state, peers.SeedsNow((Address("10.0.0.5:1"),)), Ms(0))
+    state, _ = peers.step(state, peers.SeedsChanged((Address("10.0.0.5:1"),)), Ms(0))
     _, effects = peers.step(state, Tick(), Ms(1))
     assert [e.address for e in effects if isinstance(e, SendAddress)] == ["10.0.0.5:1"]
 
--- a/tools/relay.py
+++ b/tools/relay.py
@@ -11,7 +11,7 @@
 import time
 from collections.abc import Callable, Mapping
 
-from spokeroute.transport.frames import FrameError, cut, decode
+from spokeroute.transport.frames import FrameError, decode, split_frames
 
 READ_BYTES = 65_536
 MOST_WAITING = 4_096  # reads that are on their way through a delaying relay
@@ -75,7 +75,7 @@
         True
     """
     with contextlib.suppress(FrameError):
-        frames, _ = cut(data)
+        frames, _ = split_frames(data)
         if frames:
             return decode(frames[0]).src_address
     return None
