--- a/spokeroute/transport/anti_entropy_messages.py
+++ b/spokeroute/transport/anti_entropy_messages.py
@@ -1,4 +1,4 @@
-"""The messages by which a member of the core takes from another what it lacks.
+"""Anti-entropy messages: a core member fetches the registers it lacks from another member.
 
 Example:
     >>> DigestDiffers(1, 1, ()).buckets
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DigestAsk:
-    """Anti-entropy: the asker's digest of each bucket of registers, eight bytes a bucket."""
+    """The requester's digest of each bucket of registers, eight bytes per bucket."""
 
     epoch: int
     number: int
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DigestDiffers:
-    """Anti-entropy: the buckets in which the answering member has something else; none ends it."""
+    """The buckets that differ on the answering member; an empty list ends the exchange."""
 
     epoch: int
     number: int
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldCell:
-    """A register and the ballot at which a member accepted it."""
+    """A register and the ballot at which a member accepted its value."""
 
     name: str
     counter: int
@@ -41,8 +41,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CellsAsk:
-    """Anti-entropy: asks for what the asker lacks or has older in some buckets, of which it names
-    all that it has; ``part`` is a value of which it has the first ``part_bytes`` already."""
+    """Requests the cells in some buckets that the requester lacks or has at an older version.
+
+    ``have`` names all cells that it has in these buckets; ``part`` is a value of which it already
+    has the first ``part_bytes``.
+    """
 
     epoch: int
     number: int
@@ -55,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CellPiece:
-    """A cell's value, or as much of it from ``offset`` on as a page has room for."""
+    """A cell's value from ``offset`` on, as far as it fits in the page."""
 
     copy: Copy
     offset: int
@@ -66,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CellsPart:
-    """Anti-entropy: one page of cells; ``done`` are the buckets that it ends."""
+    """One page of cells; ``done`` lists the buckets that it completes."""
 
     epoch: int
     number: int
--- a/spokeroute/transport/call_messages.py
+++ b/spokeroute/transport/call_messages.py
@@ -1,4 +1,4 @@
-"""Messages between exchanges about calls: forwards, their answers, and room for them."""
+"""Messages between exchanges about calls: forwards, their answers and free capacity."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Forward:
-    """A call for an instance that the receiver holds, with the wait that is left."""
+    """A call for an instance that the receiver holds, with the remaining wait time."""
 
     attempt_id: str
     service: str
@@ -20,23 +20,23 @@
     headers: Pairs
     body: bytes
     wait_left_ms: int
-    caller_attempt: str  # the caller's own id of the attempt; empty where it gives none
-    tenant: str = ""  # in whose name it runs; empty: in nobody's
-    rank: int = 0  # how urgent it is; 0: the most
-    guest: bool = False  # to this very process, for an instance that no living exchange holds
+    caller_attempt: str  # the caller's own id for the attempt; empty if not given
+    tenant: str = ""  # tenant on whose behalf the call runs; empty if none
+    rank: int = 0  # priority; 0 is the most urgent
+    guest: bool = False  # only for this process; no live exchange holds the instance
 
 
 @dataclass(frozen=True, slots=True)
 class ForwardDrop:
-    """The caller is gone or its wait is over: drop the attempt unless it was sent."""
+    """Drop the attempt unless it was sent: the caller is gone or its wait has expired."""
 
     attempt_id: str
-    queued_only: bool = False  # another instance has room: only what still is in the queue
+    queued_only: bool = False  # another instance has capacity: drop only if still queued
 
 
 @dataclass(frozen=True, slots=True)
 class Forwarded:
-    """How a forwarded try ended. ``ran`` is no, maybe or yes."""
+    """Result of a forwarded attempt; ``ran`` is no, maybe or yes."""
 
     attempt_id: str
     ran: str
@@ -48,31 +48,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """Asks a holder for a word: an attempt there has had none for a while."""
+    """Asks a holder for a sign of life while an attempt there has had no message for a while."""
 
 
 @dataclass(frozen=True, slots=True)
 class Pong:
-    """The word."""
+    """Reply to a ping."""
 
 
 @dataclass(frozen=True, slots=True)
 class Queued:
-    """A forwarded call waits for its turn."""
+    """Reports that a forwarded call is queued."""
 
     attempt_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class RoomAsk:
-    """Asks a holder whether an instance could get a call at once; answered only if so."""
+    """Asks a holder whether an instance can take a call now; answered only if it can."""
 
     instance: str
 
 
 @dataclass(frozen=True, slots=True)
 class RoomTold:
-    """How many calls an instance could get at once."""
+    """Number of calls that an instance can take now."""
 
     instance: str
     free: int
--- a/spokeroute/transport/list_messages.py
+++ b/spokeroute/transport/list_messages.py
@@ -21,22 +21,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Lists:
-    """The placement role's lists, pushed ahead of failures: whole (``base`` -1), or what changed
-    since the push numbered ``base``, where an empty list is one that is gone."""
+    """The placement role's lists, pushed before failures occur.
+
+    Either complete (``base`` is -1) or the changes since the push numbered ``base``; an empty list
+    in the changes marks a removed one.
+    """
 
     term: int
     sequence: int
     configuration_version: int
     age_ms: int
     successors: tuple[Successors, ...]
-    exchanges: int = 0  # how many were heard of lately; 0 where the sender does not say
+    exchanges: int = 0  # number of exchanges heard from recently; 0 if not given
     base: int = -1
 
 
 @dataclass(frozen=True, slots=True)
 class ListsAsk:
-    """An exchange lacks what a push went on from, and asks for whole lists; it names those that
-    it has."""
+    """Asks for complete lists, as the exchange lacks the base of a push.
+
+    Names the lists that the exchange has.
+    """
 
     term: int
     sequence: int
--- a/spokeroute/transport/outcome_messages.py
+++ b/spokeroute/transport/outcome_messages.py
@@ -1,4 +1,4 @@
-"""What an exchange tells of calls that ended late, refused or failed, and the log line of it.
+"""Reports by exchanges on calls that ended late, refused or failed, and their log line.
 
 Example:
     >>> OutcomesTold(1, (OutcomeRow("s", "late", "waited_for_boot", 2),)).rows[0].count
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeRow:
-    """So many calls of a service that ended in one way, for one reason."""
+    """Number of calls of a service that ended with one outcome for one reason."""
 
     service: str
     outcome: str
@@ -25,14 +25,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomesTold:
-    """An exchange's counts since its batch before; batches are numbered from 1 in each life."""
+    """An exchange's counts since its previous batch; numbered from 1 in each incarnation."""
 
     number: int
     rows: tuple[OutcomeRow, ...]
 
 
 def outcomes_line(rows: tuple[OutcomeRow, ...]) -> str:
-    """The log line of a batch: a mark, and JSON.
+    """Format a batch as a log line: a marker followed by JSON.
 
     Example:
         >>> outcomes_line((OutcomeRow("s", "late", "waited_for_boot", 2),))
@@ -43,7 +43,7 @@
 
 
 def read_outcomes_line(line: str) -> tuple[OutcomeRow, ...]:
-    """The rows of a log line, whatever stands before the mark; none where it has no mark.
+    """Parse the rows after the marker in a log line; empty if the line has no marker.
 
     Example:
         >>> read_outcomes_line('x calls: outcomes [["s","late","waited_for_boot",2]]')[0].count
--- a/spokeroute/transport/traffic.py
+++ b/spokeroute/transport/traffic.py
@@ -1,4 +1,4 @@
-"""Counts of what a process sends and receives, by kind of message."""
+"""Counters of the frames and bytes that a process sends or receives, by message type."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 @dataclass(slots=True)
 class Traffic:
-    """So many frames, and their bytes: counted up in place, as each frame passes here."""
+    """Number and total size of frames; mutable, as it is updated for every frame."""
 
     frames: int = 0
     size_bytes: int = 0
 
 
 class TrafficCounter:
-    """Traffic by kind, since it was taken last.
+    """Traffic by message type since the counters were last read.
 
     Example:
         >>> counter = TrafficCounter()
@@ -27,7 +27,7 @@
         self._kinds: dict[str, Traffic] = {}
 
     def count(self, kind: str, size_bytes: int) -> None:
-        """One frame of a kind.
+        """Count one frame of a message type.
 
         Example:
             counter.count("Probe", len(frame))
@@ -39,7 +39,7 @@
         traffic.size_bytes += size_bytes
 
     def taken(self) -> dict[str, Traffic]:
-        """What was counted since this was asked last.
+        """Return the counts since the previous call and reset them.
 
         Example:
             >>> TrafficCounter().taken()
