--- a/tests/test_catch_up.py
+++ b/tests/test_catch_up.py
@@ -54,7 +54,7 @@
     node = sim.registries[2]
     write_while_away(sim, node, part)
     took_ms = whole_after(sim, node)
-    print("missed", part, "whole after", took_ms, "ms")
+    print("missed", part, "complete after", took_ms, "ms")
     assert took_ms <= CATCH_UP_MS
     sim.registries[0].kill()
     sim.registries[0].machine_up = False
--- a/tests/test_catch_up_links.py
+++ b/tests/test_catch_up_links.py
@@ -71,8 +71,8 @@
 def order_ms(sim: Sim, registry: int, name: str, most_ms: float) -> float:
     """Returns how long an order takes to be acknowledged."""
     sent_ms = sim.env.now
-    told = sim.apply(configuration(name=name), registry=registry)
-    assert sim.up_to(lambda: told.status != -1, most_ms) and told.status == 200, told
+    reply = sim.apply(configuration(name=name), registry=registry)
+    assert sim.up_to(lambda: reply.status != -1, most_ms) and reply.status == 200, reply
     return sim.env.now - sent_ms
 
 
@@ -95,7 +95,7 @@
         took.append(order_ms(sim, 0, f"meanwhile-{len(took)}", 4_000))
         if not whole_ms and not any(n.startswith("claim/") for n in lacks(sim, node)):
             whole_ms = sim.env.now - back_ms
-    print("orders took at most", max(took), "of", len(took), "whole after", whole_ms)
+    print("orders took at most", max(took), "of", len(took), "complete after", whole_ms)
     assert whole_ms <= CATCH_UP_MS
     assert max(took) <= (2_000 if alone else 300)
     sim.close()
@@ -168,8 +168,8 @@
     mine = Map({"a": replace(cell_of(b"old"), promised=Ballot(9, ME))})
     sender = State(MemberId("m1"), ROSTER, True, theirs, index=index_of(theirs))
     receiver = replace(anti_entropy.start(ME, ROSTER, True, mine), due=Map({NodeId("m1"): Ms(0)}))
-    beat = heartbeat()
-    receiver, _ = anti_entropy.step(receiver, From(NodeId("m1"), Incarnation(1), beat), Ms(10))
+    message = heartbeat()
+    receiver, _ = anti_entropy.step(receiver, From(NodeId("m1"), Incarnation(1), message), Ms(10))
     tells: list[str] = []
     now_ms = 20
     for _ in range(200):
@@ -195,14 +195,14 @@
 def test_claims_keep_their_age_across_restarts(kept: bool, tmp_path: Path) -> None:
     """A member that restarts every ten minutes still drops its claims after fifteen. If it lost
     their age at a restart, it never would."""
-    for life in range(4):
+    for incarnation in range(4):
         disk = Disk(tmp_path, 16)
         loaded = disk.load()
         ages = ClaimAges(loaded=loaded.born, earlier_ms=loaded.ran_ms) if kept else ClaimAges()
         state = acceptor.start(ME, ROSTER, True, loaded.cells, ages)
-        clock_ms = 1_000_000 * (7 - life)  # each process has its own clock
+        clock_ms = 1_000_000 * (7 - incarnation)  # each process has its own clock
         events: list[tuple[int, object]] = [(at, Tick()) for at in range(0, 10 * MINUTE_MS, 500)]
-        if life == 0:
+        if incarnation == 0:
             events.insert(1, (1, accept("claim/k", b"x", 1)))
         for at_ms, event in events:
             state, effects = acceptor.step(state, event, Ms(clock_ms + at_ms))
@@ -211,13 +211,13 @@
                 disk.write(job)
                 state, _ = acceptor.step(state, DiskDone(job.batch), Ms(clock_ms + at_ms))
             if at_ms % 5_000 == 0:  # another register is written regularly
-                beat = accept("floor", b"%d" % at_ms, 1 + at_ms + life * 10**9)
-                state, effects = acceptor.step(state, beat, Ms(clock_ms + at_ms))
+                message = accept("floor", b"%d" % at_ms, 1 + at_ms + incarnation * 10**9)
+                state, effects = acceptor.step(state, message, Ms(clock_ms + at_ms))
                 for job in [e.job for e in effects if isinstance(e, Launch)]:
                     assert isinstance(job, DiskWrite)
                     disk.write(job)
                     state, _ = acceptor.step(state, DiskDone(job.batch), Ms(clock_ms + at_ms))
-        assert ("claim/k" in state.synced) == (life == 0 or not kept)
+        assert ("claim/k" in state.synced) == (incarnation == 0 or not kept)
         disk.close()
 
 
@@ -308,8 +308,8 @@
     asked = len(sim.platform.starts)
     node = sim.registries[0]
     node.start()
-    told = [sim.apply(configuration(name="alone")), sim.show(), sim.evacuated()]
-    told.append(sim.evacuate("north", True))
+    replies = [sim.apply(configuration(name="alone")), sim.show(), sim.evacuated()]
+    replies.append(sim.evacuate("north", True))
     change(sim, 11)
     for _ in range(200):
         sim.run(50)
@@ -318,7 +318,7 @@
         assert node.state("role").term == 0 and node.state("role").known_holder is None
         assert node.state("placement").term == 0 and node.state("placement").table is None
         assert node.state("acceptor").epoch == 1
-    assert all(t.status in (503, 504) for t in told), [t.status for t in told]
+    assert all(t.status in (503, 504) for t in replies), [t.status for t in replies]
     assert len(sim.platform.starts) == asked
     sim.close()
 
@@ -335,7 +335,7 @@
     sim.run(2 * 30_000)
     node.disk.full = False
     took_ms = whole_after(sim, node)
-    print("whole after", took_ms, "ms with a disk that takes writes again")
+    print("complete after", took_ms, "ms with a disk that takes writes again")
     assert took_ms <= CATCH_UP_MS and node.births == 1
     sim.close()
 
--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -54,8 +54,8 @@
     path = next(iter(sim.routes))
     drop_compiled_configurations(sim, node)
     old = ruling(node)
-    told = sim.apply(changed())
-    assert sim.up_to(lambda: told.status == 200, 4_000)
+    reply = sim.apply(changed())
+    assert sim.up_to(lambda: reply.status == 200, 4_000)
     acked_ms = sim.env.now
     sim.run(APPLY_MS - 1_500)
     early = sim.call(path, node)
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -108,17 +108,17 @@
     """Short cuts in the middle of rounds: every answer is correct, whatever it is."""
     sim, rng = each.sim, random.Random(9)
     for _ in range(25):
-        told = [an_order(sim, rng.randrange(len(sim.registries)), rng) for _ in range(4)]
+        replies = [an_order(sim, rng.randrange(len(sim.registries)), rng) for _ in range(4)]
         sim.run(rng.uniform(0, 6))
         sever(each, rng.choice(("both", "out", "in")))
         sim.run(rng.uniform(100, 2_500))
         sim.net.cuts.clear()
         sim.run(rng.uniform(100, 700))
-        assert not [t for t in told if 400 <= t.status < 500 and t.what != "apply"]
+        assert not [t for t in replies if 400 <= t.status < 500 and t.what != "apply"]
     sim.run(9_000)
-    told = [sim.show(i) for i in range(len(sim.registries))]
+    replies = [sim.show(i) for i in range(len(sim.registries))]
     sim.run(4_500)
-    assert {t.status for t in told} == {200}
+    assert {t.status for t in replies} == {200}
     assert readback.acked_reads_back(sim.log()) == []
     assert readback.refused_never_rules(sim.log()) == []
 
@@ -127,8 +127,8 @@
     """Plants a fault: read-backs are answered from the member's own cell."""
     honest = Node.ask
 
-    def ask(self: Node, actor: str, make, told) -> None:  # type: ignore[no-untyped-def]
-        honest(self, actor, make, told)
+    def ask(self: Node, actor: str, make, reply) -> None:  # type: ignore[no-untyped-def]
+        honest(self, actor, make, reply)
         for op_id, asked in self.state("operator").open.items():
             if isinstance(asked, operator.Show):
                 cell = self.state("acceptor").synced["configuration"]
@@ -155,9 +155,9 @@
     monkeypatch.setattr(operator, "ALONE_MS", 0)
     sever(each, "both")
     each.sim.run(KNOWN_MS)
-    told = each.sim.show(0)
+    reply = each.sim.show(0)
     each.sim.run(4_500)
-    assert told.done_ms - told.at_ms > QUICK_MS
+    assert reply.done_ms - reply.at_ms > QUICK_MS
 
 
 class Edge(Api):
@@ -194,10 +194,10 @@
         patched.setattr(ruling, "RULES_MS", STALE_MS + SLACK_MS)
         patched.setattr(judges, "EVACUATE_MS", STALE_MS + SLACK_MS)
         patched.setattr(judges, "DRAIN_MS", STALE_MS + SLACK_MS)
-        return rules(replace(log, stop_ms=late))
+        return run_judges(replace(log, stop_ms=late))
 
 
-def rules(log: Log) -> list[str]:
+def run_judges(log: Log) -> list[str]:
     each = (
         judges.newest_rules, judges.right_service, judges.evacuated_get_nothing,
         judges.drained_get_nothing, judges.vanished_get_nothing, judges.once_never_twice,
@@ -278,13 +278,13 @@
     node.kill()
     sim.run(1_000)
     node.start()
-    told = sim.apply(configuration(name="early"))
+    reply = sim.apply(configuration(name="early"))
     sim.run(1_500)
-    assert told.status == 200
+    assert reply.status == 200
     node.kill()
     sever(each, "both")
     sim.run(1_000)
     node.start()
-    told = sim.apply(configuration(name="alone"))
+    reply = sim.apply(configuration(name="alone"))
     sim.run(1_500)
-    assert told.status == 503 and told.done_ms - told.at_ms > proposer.MEETING_MS
+    assert reply.status == 503 and reply.done_ms - reply.at_ms > proposer.MEETING_MS
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -27,9 +27,9 @@
         door.close()
 
 
-def until(said: Callable[[], bool]) -> None:
+def until(condition: Callable[[], bool]) -> None:
     end_s = time.monotonic() + 20
-    while not said():
+    while not condition():
         assert time.monotonic() < end_s
         time.sleep(0.005)
 
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -63,15 +63,15 @@
 
 
 def apply_acked(sim: Sim, doc: dict[str, object], registry: int) -> Told:
-    told = sim.apply(doc, registry=registry)
-    assert sim.up_to(lambda: told.status == 200, 4_000), told
-    return told
+    reply = sim.apply(doc, registry=registry)
+    assert sim.up_to(lambda: reply.status == 200, 4_000), reply
+    return reply
 
 
 def shows_configuration(sim: Sim, name: str, registry: int) -> bool:
-    told = sim.show(registry)
-    assert sim.up_to(lambda: told.status != -1, 5_000)
-    return told.status == 200 and told.doc["configuration"]["name"] == name
+    reply = sim.show(registry)
+    assert sim.up_to(lambda: reply.status != -1, 5_000)
+    return reply.status == 200 and reply.doc["configuration"]["name"] == name
 
 
 def blank_again(sim: Sim, nodes: list[Node], away_ms: float) -> float:
--- a/tests/test_losses_and_power.py
+++ b/tests/test_losses_and_power.py
@@ -33,10 +33,10 @@
     made.close()
 
 
-def acknowledged(sim: Sim, told: Told) -> None:
-    while told.status == -1:
+def acknowledged(sim: Sim, reply: Told) -> None:
+    while reply.status == -1:
         sim.run(1)
-    assert told.status == 200, told
+    assert reply.status == 200, reply
 
 
 def power_cycle(sim: Sim, wiped: tuple[Node, ...]) -> None:
@@ -55,10 +55,10 @@
     until_ms = sim.env.now + within_ms
     turn = 0
     while sim.env.now < until_ms:
-        told = sim.show(turn % len(sim.registries))
+        reply = sim.show(turn % len(sim.registries))
         sim.run(500)
-        if told.status == 200:
-            return str(told.doc["configuration"]["name"])
+        if reply.status == 200:
+            return str(reply.doc["configuration"]["name"])
         turn += 1
     return "none"
 
@@ -75,9 +75,9 @@
     power_cycle(five, tuple(five.registries[number] for number in lost))
     assert five.up_to(lambda: sum(votes(r) for r in five.registries) >= 3, RECOVERY_MS)
     assert read_back(five, 6_000) == "the newest"
-    for told in (five.evacuated(number) for number in range(5)):
+    for reply in (five.evacuated(number) for number in range(5)):
         five.run(500)
-        assert told.status != 200 or told.doc["evacuated"] == ["south"]
+        assert reply.status != 200 or reply.doc["evacuated"] == ["south"]
     assert five.up_to(lambda: five.serving("readings", 1), RECOVERY_MS)
     assert five.up_to(lambda: all(votes(r) for r in five.registries), RECOVERY_MS)
 
--- a/tests/test_named_copies.py
+++ b/tests/test_named_copies.py
@@ -40,9 +40,9 @@
 def test_the_sender_restores_all_copies_of_a_member(
     named: tuple[Copy, ...], has: tuple[Copy, ...]
 ) -> None:
-    told = without_known_copies(fingerprints(by_name(named)), has)
-    assert by_name(with_named_copies(by_name(named), told)) == by_name(has)
-    assert {copy.name for copy in told} == {
+    reduced = without_known_copies(fingerprints(by_name(named)), has)
+    assert by_name(with_named_copies(by_name(named), reduced)) == by_name(has)
+    assert {copy.name for copy in reduced} == {
         one.name for one, other in zip(has, named, strict=True) if one != other
     }
 
@@ -55,8 +55,8 @@
 
 def test_an_answer_without_changes_is_short() -> None:
     has = tuple(Copy(name, 9, "d" * 64, 1_000, "m-123456") for name in SPREAD)
-    told = without_known_copies(fingerprints(by_name(has)), has)
-    ack = ProbeAck(1, 1, told, (), ())
+    reduced = without_known_copies(fingerprints(by_name(has)), has)
+    ack = ProbeAck(1, 1, reduced, (), ())
     long = len(encode(Envelope("m1", 1, "h:1", "e1", replace(ack, copies=has))))
     short = len(encode(Envelope("m1", 1, "h:1", "e1", ack)))
     assert 4 * short < long
@@ -71,8 +71,8 @@
     for number in range(4):
         node = sim.registries[number % 3]
         node.kill()
-        told = sim.apply({**_document(sim), "name": f"n{number}"}, (number + 1) % 3)
-        assert sim.up_to(partial(_is_done, told), 6_000)
+        reply = sim.apply({**_document(sim), "name": f"n{number}"}, (number + 1) % 3)
+        assert sim.up_to(partial(_is_done, reply), 6_000)
         node.start()
         sim.run(3_000)
         versions = {
@@ -82,8 +82,8 @@
     sim.close()
 
 
-def _is_done(told: Told) -> bool:
-    return told.status == 200
+def _is_done(reply: Told) -> bool:
+    return reply.status == 200
 
 
 def _document(sim: Sim) -> dict[str, object]:
--- a/tests/test_planned_leave.py
+++ b/tests/test_planned_leave.py
@@ -91,15 +91,15 @@
     """Sends orders to one registry for a while; returns each name with its status."""
     end_ms = sim.env.now + for_ms
     count = 0
-    told = []
+    results = []
     while sim.env.now < end_ms:
         if registry.alive:
             doc = configuration(name=f"order-{count}-{sim.env.now}")
-            told.append((doc["name"], sim.apply(doc, sim.registries.index(registry))))
+            results.append((doc["name"], sim.apply(doc, sim.registries.index(registry))))
         count += 1
         sim.run(every_ms)
     sim.run(5_000)
-    return [(name, t.status) for name, t in told]
+    return [(name, t.status) for name, t in results]
 
 
 @EACH
@@ -118,9 +118,9 @@
             core.run(10)
         assert alone == 0 and old.alive
         assert core.up_to(lambda n=old: not n.alive, 1_000)  # type: ignore[misc]
-        told = orders(core, beside, 900)
-        assert told and all(status == 200 for _, status in told), told
-        assert shows_configuration(core, told[-1][0], index)
+        results = orders(core, beside, 900)
+        assert results and all(status == 200 for _, status in results), results
+        assert shows_configuration(core, results[-1][0], index)
         assert all_have_claims(core)
 
 
@@ -148,11 +148,11 @@
     core.run(800)
     old = core.registries[0]
     after(core, 300, old.terminate)
-    told = orders(core, old, 2_000, 70)
-    assert len(told) > 5 and all(status == 200 for _, status in told), told
+    results = orders(core, old, 2_000, 70)
+    assert len(results) > 5 and all(status == 200 for _, status in results), results
     assert core.up_to(lambda: votes(new), 1_000)
     core.registries[0] = new
-    assert shows_configuration(core, told[-1][0], 0)
+    assert shows_configuration(core, results[-1][0], 0)
 
 
 @EACH
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -205,41 +205,43 @@
 ME, OTHER = NodeId("m1"), NodeId("m2")
 
 
-def asked(effects: tuple[object, ...]) -> Ask:
+def requested_operation(effects: tuple[object, ...]) -> Ask:
     return next(e.event for e in effects if isinstance(e, Tell) and isinstance(e.event, Ask))
 
 
-def told(
+def settle_read(
     state: role.State, ask: Ask, holder: RoleHolder, version: int, now_ms: int
 ) -> tuple[role.State, Effects]:
-    said = Settled(ask.op_id, "placement", Outcome.DONE, version, pack_role(holder), False)
-    return role.step(state, said, Ms(now_ms))
+    settled = Settled(ask.op_id, "placement", Outcome.DONE, version, pack_role(holder), False)
+    return role.step(state, settled, Ms(now_ms))
 
 
 def test_a_late_message_of_an_earlier_incarnation_frees_no_role() -> None:
     """A member's incarnations are counted on its disk: only a later one voids a lease."""
     state = role.State(ME, 5, (ME, OTHER))
     state, effects = role.step(state, Tick(), Ms(10))
-    state, _ = told(state, asked(effects), RoleHolder(OTHER, 7, 3), 9, 12)
-    for life, wanted in ((6, False), (7, False), (8, True)):
-        alive = From(OTHER, Incarnation(life), Heartbeat(1, True, False, (), "", True, False))
+    state, _ = settle_read(state, requested_operation(effects), RoleHolder(OTHER, 7, 3), 9, 12)
+    for incarnation, wanted in ((6, False), (7, False), (8, True)):
+        alive = From(
+            OTHER, Incarnation(incarnation), Heartbeat(1, True, False, (), "", True, False)
+        )
         state, _ = role.step(state, alive, Ms(20))
         state, effects = role.step(state, Tick(), Ms(30))
         state, effects = role.step(state, Tick(), Ms(400))
-        assert any(isinstance(e, Tell) for e in effects) == wanted, life
+        assert any(isinstance(e, Tell) for e in effects) == wanted, incarnation
 
 
 def test_a_released_role_is_read_before_it_is_taken() -> None:
     state = role.State(ME, 5, (ME, OTHER))
     state, effects = role.step(state, Tick(), Ms(10))
-    state, _ = told(state, asked(effects), RoleHolder(OTHER, 7, 3), 9, 12)
+    state, _ = settle_read(state, requested_operation(effects), RoleHolder(OTHER, 7, 3), 9, 12)
     state, _ = role.step(state, From(OTHER, Incarnation(7), RoleFree(3)), Ms(20))
     state, _ = role.step(state, Tick(), Ms(30))
     state, effects = role.step(state, Tick(), Ms(300))
-    ask = asked(effects)
+    ask = requested_operation(effects)
     assert isinstance(ask.change, Read)
-    state, effects = told(state, ask, RoleHolder("", 0, 3), 10, 310)
-    offer = asked(effects)
+    state, effects = settle_read(state, ask, RoleHolder("", 0, 3), 10, 310)
+    offer = requested_operation(effects)
     assert isinstance(offer.change, Swap) and state.offered_term == Term(4)
     assert offer.change.expect == 10
 
@@ -347,9 +349,9 @@
     first, _ = server.accept()
     first.settimeout(5)
     speaker = socket.create_connection(parse_address(Address(here)))
-    for life in (1, 1, 2):
+    for incarnation in (1, 1, 2):
         time.sleep(0.05)
-        speaker.sendall(encode(Envelope("m2", life, address, "", Finish("floor"))))
+        speaker.sendall(encode(Envelope("m2", incarnation, address, "", Finish("floor"))))
     second, _ = server.accept()
     second.settimeout(0.05)
     while first.recv(65536):
--- a/tests/test_report_changes.py
+++ b/tests/test_report_changes.py
@@ -25,15 +25,15 @@
 
 def probe(changes: ReportChanges, number: int) -> Probe:
     base = changes.base(MEMBER)
-    held, gone = changes.since(base)
-    return Probe(number, 1, (), held, (), (), False, (), 0, held_base=base, held_no_more=gone)
+    held, removed = changes.since(base)
+    return Probe(number, 1, (), held, (), (), False, (), 0, held_base=base, held_no_more=removed)
 
 
 @dataclass
 class Member:
     """A member's incarnation, and what it knows of the exchange."""
 
-    life: int = 1
+    incarnation: int = 1
     known: ExchangeReport | None = None
     lost: list[int] = field(default_factory=list)
 
@@ -41,7 +41,7 @@
         self.known = exchange_report(self.known, EXCHANGE, asked, 0, Ms(0))
 
     def restarts(self) -> None:
-        self.life += 1
+        self.incarnation += 1
         self.known = None
 
     @property
@@ -78,7 +78,7 @@
         if member.known is not None and member.known.number == number:
             assert member.held == {each.instance: each for each in reports}
         if end == "answered":
-            changes = changes.answered(MEMBER, Incarnation(member.life), number, number)
+            changes = changes.answered(MEMBER, Incarnation(member.incarnation), number, number)
 
     for now, end in steps:
         ask(now, end)
@@ -132,6 +132,6 @@
 
 def agree(node: Node, member: Node) -> bool:
     """Returns whether a member knows exactly the instances that an exchange reports."""
-    told = {each.instance for each in node.state("replica").reports.held}
+    reported = {each.instance for each in node.state("replica").reports.held}
     known = member.state("placement").reports.get(node.name)
-    return known is not None and bool(told) and set(known.held) == told
+    return known is not None and bool(reported) and set(known.held) == reported
--- a/tests/test_role_ended.py
+++ b/tests/test_role_ended.py
@@ -11,7 +11,7 @@
 from spokeroute.dispatch.placement.role import RoleHolder
 from spokeroute.register.changes import Read
 from tests.sim.cluster import Sim
-from tests.test_recovery import ME, OTHER, asked, told
+from tests.test_recovery import ME, OTHER, requested_operation, settle_read
 from tests.test_scenarios import clean
 
 
@@ -19,7 +19,7 @@
     """A refusal may be processed late, when a later incarnation runs and holds the role."""
     state = role.State(ME, 5, (ME, OTHER))
     state, effects = role.step(state, Tick(), Ms(10))
-    state, _ = told(state, asked(effects), RoleHolder(OTHER, 7, 3), 9, 12)
+    state, _ = settle_read(state, requested_operation(effects), RoleHolder(OTHER, 7, 3), 9, 12)
     for life, wanted in ((6, False), (7, True), (6, True)):
         state, _ = role.step(state, role.ProcessEnded(OTHER, life), Ms(20))
         state, effects = role.step(state, Tick(), Ms(30))
@@ -29,7 +29,8 @@
             continue
         if state.pending_op_id and not effects:
             continue  # the read is already in progress
-        assert isinstance(asked(effects).change, Read)  # the role is read from a majority first
+        # The role is read from a majority first.
+        assert isinstance(requested_operation(effects).change, Read)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
--- a/tests/test_second_loss.py
+++ b/tests/test_second_loss.py
@@ -35,11 +35,11 @@
     majority, such as one that has not joined, refuses at once."""
     end_ms = sim.env.now + wait_ms
     while True:
-        told = ask()
-        assert sim.up_to(lambda t=told: t.status != -1, end_ms - sim.env.now), told  # type: ignore[misc]
-        if told.status == 200:
-            return told
-        assert told.status == 503 and sim.env.now < end_ms, told
+        reply = ask()
+        assert sim.up_to(lambda t=reply: t.status != -1, end_ms - sim.env.now), reply  # type: ignore[misc]
+        if reply.status == 200:
+            return reply
+        assert reply.status == 503 and sim.env.now < end_ms, reply
         sim.run(100)
 
 
@@ -210,8 +210,8 @@
     show, order = sim.show(2), sim.apply(configuration(name="alone"), 2)
     sim.run(5_000)
     assert (show.status, order.status) == (503, 503)
-    for told in (show, order):
-        words = told.doc["detail"]
+    for reply in (show, order):
+        words = reply.doc["detail"]
         assert "start any 1 of them again with their disks" in words
         for gone in (first, second):
             assert gone.disk is not None
