--- a/spokeroute/exchange/metrics_snapshot.py
+++ b/spokeroute/exchange/metrics_snapshot.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from spokeroute.exchange import entry, holder
+from spokeroute.exchange import call_state, holder
 from spokeroute.metrics import MS, Figures
 from spokeroute.transport.process import Process
 
@@ -14,11 +14,11 @@
         text_of(exchange_metrics(process))
     """
     now_ms = process.world.now_ms()
-    calls: entry.State = process.actors["calls"].state
+    calls: call_state.State = process.actors["calls"].state
     held: holder.State = process.actors["holder"].state
     return Figures(
         calls.outcomes.total,
-        {"spokeroute_cold_start_wait_seconds": calls.waits.by},
+        {"spokeroute_cold_start_wait_seconds": calls.waits.histograms},
         {
             "spokeroute_open_calls": len(calls.calls),
             "spokeroute_held_instances": len(held.instances),
--- a/spokeroute/exchange/resend.py
+++ b/spokeroute/exchange/resend.py
@@ -1,4 +1,4 @@
-"""Why a call may be sent once more: the one place that allows it, and what is noted of it."""
+"""The only place that decides whether a call may be sent again, and the counts of the reasons."""
 
 from __future__ import annotations
 
@@ -10,37 +10,40 @@
 from spokeroute.exchange.types import Call
 
 
-class Allowed(StrEnum):
-    """What makes one more send of a call harmless."""
+class ResendReason(StrEnum):
+    """Why another send of a call is safe."""
 
     NEVER_SENT = "never sent"
-    """The send before never left this process, or was never handed to an instance."""
+    """The previous attempt never left this process, or was never sent to an instance."""
     NOT_RUN = "not run"
-    """Whoever had the send before said that it did not run and will not."""
+    """Whoever had the previous attempt confirmed that it did not and will not run."""
     REPEATABLE = "repeatable"
-    """The send before may have run, and the call may run more than once."""
+    """The previous attempt may have run, but the call may run more than once."""
 
 
-def allowed(call: Call) -> Allowed | None:
-    """Why a call that was sent before may be sent again; None where it may not.
+def resend_reason(call: Call) -> ResendReason | None:
+    """Why a call that was sent before may be sent again; None if it may not.
 
     Example:
-        allowed(call) is Allowed.NOT_RUN
+        resend_reason(call) is ResendReason.NOT_RUN
     """
-    if call.maybe or call.attempts:
-        return None if call.once else Allowed.REPEATABLE
-    return Allowed.NEVER_SENT if call.unsent else Allowed.NOT_RUN
+    if call.may_have_run or call.attempts:
+        return None if call.at_most_once else ResendReason.REPEATABLE
+    return ResendReason.NEVER_SENT if call.unsent else ResendReason.NOT_RUN
 
 
-def noted(
-    resends: Map[str, int], call: Call, why: Allowed, instance: str
+def count_resend(
+    resends: Map[str, int], call: Call, why: ResendReason, instance: str
 ) -> tuple[Map[str, int], Note]:
-    """The count by reason with one more, and the line for the ring log.
+    """The counts by reason with one more resend, and a line for the log.
 
     Example:
-        resends, note = noted(resends, call, Allowed.NOT_RUN, "i1")
+        resends, note = count_resend(resends, call, ResendReason.NOT_RUN, "i1")
     """
     count = resends.get(why, 0) + 1
-    last = f" ({call.why})" if call.why else ""
-    text = f"send {call.draws + 1} of {call.ask.call_id} to {instance}: {why.value}{last}; {count}"
+    last = f" ({call.reason})" if call.reason else ""
+    text = (
+        f"send {call.send_count + 1} of {call.request.call_id} to {instance}: "
+        f"{why.value}{last}; {count}"
+    )
     return resends.set(why, count), Note(text)
--- a/spokeroute/register/acceptor/outage.py
+++ b/spokeroute/register/acceptor/outage.py
@@ -1,8 +1,8 @@
-"""A store that takes no writes: what a member does until its store is open again.
+"""Read-only mode of a member whose store has failed a write.
 
-A failed write says nothing of what is on the disk: the batch may be there wholly, or not at all.
-So the member goes back to what its last sync covered, answers reads from that, and votes again
-only from what an environment that was opened anew has, once that one has taken a write.
+After a failed write it is unknown whether the batch is on disk: all of it may be, or none. The
+member therefore reverts to its last synced state and answers reads from that. It votes again only
+after the environment was reopened, accepted a test write, and its contents were read back.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from spokeroute.register.acceptor.outage_state import Outage, next_pause_ms
 from spokeroute.register.acceptor.state import State
 from spokeroute.register.cells import EMPTY, Cell
-from spokeroute.register.disk.store import (
+from spokeroute.register.disk.jobs import (
     DiskWrite,
     ReopenFailed,
     ReopenStore,
@@ -24,14 +24,14 @@
 )
 from spokeroute.transport.messages import CopyAsk, FetchAsk, HeldAsk, Probe
 
-HEAD_BYTES = 256  # of a cell on disk, besides its value
+CELL_HEADER_BYTES = 256  # stored size of a cell, apart from its value
 
 
-def reads_only(event: object) -> bool:
-    """Whether a peer's message is answered from what is synced, and changes nothing.
+def is_read(event: object) -> bool:
+    """Whether an event is a peer's read, which is answered from synced state and changes nothing.
 
     Example:
-        >>> reads_only(None)
+        >>> is_read(None)
         False
     """
     return isinstance(event, From) and isinstance(
@@ -40,7 +40,7 @@
 
 
 def begin(state: State, reason: str, now_ms: Ms) -> tuple[State, Effects]:
-    """Back to what the last sync covered; nobody gets an answer that waited for this one.
+    """Revert to the last synced state and drop the replies that waited for the failed write.
 
     Example:
         state, effects = begin(state, "no space left on device", now_ms)
@@ -54,20 +54,20 @@
         votes=state.synced_votes,
         cells=state.synced,
         dirty=frozenset(),
-        waiting=(),
-        drops=(),
+        pending_replies=(),
+        deletions=(),
         meta_dirty=False,
         writing=None,
         writing_replies=(),
-        took_ms=_of_synced(state),
-        copied=Map(),
-        ages=state.ages.again(state.writing.born if state.writing else ()),
+        claim_accepted_ms=_synced_claim_times(state),
+        copy_progress=Map(),
+        ages=state.ages.with_unsaved(state.writing.first_seen_ms if state.writing else ()),
         outage=outage,
         pause_ms=next_pause_ms(state.pause_ms),
     )
     text = (
-        f"the store refused a write ({reason}): this member is read-only until its store takes "
-        "one; free the disk, or raise disk_mb"
+        f"store write failed ({reason}): this member is read-only until a write succeeds; free "
+        "disk space, or raise disk_mb"
     )
     return state, (Note(text, alarm=True), Tell("membership", StoreWritable(False)))
 
@@ -75,11 +75,11 @@
 def _size_bytes(write: DiskWrite | None) -> int:
     if write is None:
         return 0
-    return sum(len(cell.value) + HEAD_BYTES for _, cell in write.cells)
+    return sum(len(cell.value) + CELL_HEADER_BYTES for _, cell in write.cells)
 
 
-def _of_synced(state: State) -> Map[str, Ms]:
-    """When claims were accepted: of those only whose synced value is the one in memory."""
+def _synced_claim_times(state: State) -> Map[str, Ms]:
+    """Acceptance times of the claims whose synced value is the one in memory."""
 
     def digest(cells: Map[str, Cell], name: str) -> str:
         return cells.get(name, EMPTY).digest
@@ -87,14 +87,14 @@
     return Map(
         {
             name: at_ms
-            for name, at_ms in state.took_ms.items()
+            for name, at_ms in state.claim_accepted_ms.items()
             if digest(state.cells, name) == digest(state.synced, name)
         }
     )
 
 
 def step(state: State, outage: Outage, event: object, now_ms: Ms) -> tuple[State, Effects]:
-    """Nothing is promised, accepted or adopted; the store is opened again now and then.
+    """Promise, accept and adopt nothing; reopen the store at intervals.
 
     Example:
         state, effects = step(state, state.outage, Tick(), now_ms)
@@ -104,16 +104,16 @@
             state = replace(state, outage=replace(outage, reopening=True))
             return state, (Launch(ReopenStore(outage.probe_bytes)),)
         case ReopenFailed(reason) if outage.reopening:
-            return _stays(state, outage, reason, now_ms)
+            return _reopen_failed(state, outage, reason, now_ms)
         case StoreReopened() as found if outage.reopening:
-            return _ended(state, outage, found, now_ms)
+            return _reopened(state, outage, found, now_ms)
     return state, ()
 
 
-def _stays(state: State, outage: Outage, reason: str, now_ms: Ms) -> tuple[State, Effects]:
-    """The next attempt comes after a longer pause."""
+def _reopen_failed(state: State, outage: Outage, reason: str, now_ms: Ms) -> tuple[State, Effects]:
+    """Schedule the next attempt after a longer pause."""
     pause_ms = next_pause_ms(outage.pause_ms)
-    note = () if reason == outage.reason else (Note(f"the store stays read-only: {reason}"),)
+    note = () if reason == outage.reason else (Note(f"store is still read-only: {reason}"),)
     outage = replace(
         outage,
         reason=reason,
@@ -124,8 +124,10 @@
     return replace(state, outage=outage), note
 
 
-def _ended(state: State, outage: Outage, found: StoreReopened, now_ms: Ms) -> tuple[State, Effects]:
-    """Start from what the disk has: the batch that failed may be on it."""
+def _reopened(
+    state: State, outage: Outage, found: StoreReopened, now_ms: Ms
+) -> tuple[State, Effects]:
+    """Resume from the contents of the disk, which may include the batch whose write failed."""
     state = replace(
         state,
         roster=found.roster,
@@ -134,8 +136,8 @@
         synced=found.cells,
         synced_roster=found.roster,
         synced_votes=found.votes,
-        whole=state.whole or found.votes,
+        holds_all_accepted=state.holds_all_accepted or found.votes,
         outage=None,
     )
-    note = Note(f"the store takes writes again after {now_ms - outage.since_ms} ms")
+    note = Note(f"store accepts writes again after {now_ms - outage.since_ms} ms")
     return state, (note, Tell("membership", StoreWritable(True)))
--- a/spokeroute/register/acceptor/probed.py
+++ b/spokeroute/register/acceptor/probe_replies.py
@@ -1,5 +1,7 @@
-"""A member's answer to a probe: the versions that it has synced, and what the asker lacks of their
-values, as patches where that is less."""
+"""Replies to probes and fetches: synced versions, and values that the requester lacks.
+
+A value is sent as a patch where the patch is smaller.
+"""
 
 from __future__ import annotations
 
@@ -15,14 +17,14 @@
 if TYPE_CHECKING:
     from spokeroute.register.acceptor.state import State
 
-INLINE_BYTES = 128 * 1024
+MAX_INLINE_BYTES = 128 * 1024
 
 
-def probed(state: State, node: NodeId, probe: Probe) -> Effects:
-    """The answer of a member that votes, by its disk; no other's counts.
+def reply_to_probe(state: State, node: NodeId, probe: Probe) -> Effects:
+    """The reply of a member that is a voter according to its disk; other members don't reply.
 
     Example:
-        probed(state, NodeId("e1"), probe)
+        reply_to_probe(state, NodeId("e1"), probe)
     """
     roster, synced = state.synced_roster, state.synced
     if roster is None or not state.synced_votes:
@@ -37,7 +39,7 @@
         value = synced[copy.name].value
         if patch is not None:
             patches.append(patch)
-        elif len(value) <= INLINE_BYTES:
+        elif len(value) <= MAX_INLINE_BYTES:
             values.append(FetchGot(copy, value))
     told = without_known_copies(probe.named, copies)
     same = bool(state.absent) and probe.absent == absent_fingerprint(state.absent)
@@ -48,11 +50,11 @@
     return (Send(node, ack),)
 
 
-def fetched(state: State, node: NodeId, ask: FetchAsk) -> Effects:
-    """The one value that is asked for, if this member has synced it.
+def reply_to_fetch(state: State, node: NodeId, ask: FetchAsk) -> Effects:
+    """The requested value, if this member has synced that version.
 
     Example:
-        fetched(state, NodeId("e1"), FetchAsk("floor", 7, digest))
+        reply_to_fetch(state, NodeId("e1"), FetchAsk("floor", 7, digest))
     """
     cell = state.synced.get(ask.name, EMPTY)
     if (cell.version, cell.digest) != (ask.version, ask.digest):
@@ -62,14 +64,14 @@
 
 
 def patch_for(state: State, have: tuple[str, ...], copy: Copy) -> ValuePatch | None:
-    """A patch to a synced value from one that the asker has, if that one is still kept here.
+    """A patch to the synced value from one that the requester has, if that one is still cached.
 
     Example:
         patch_for(state, probe.have, copy)
     """
     value = state.synced[copy.name].value
     for digest in have:
-        base = state.earlier.find(copy.name, digest)
+        base = state.recent_values.find(copy.name, digest)
         patch = make_patch(digest, base, copy, value) if base else None
         if patch is not None:
             return patch
--- a/spokeroute/register/disk/loaded.py
+++ b/spokeroute/register/disk/loaded.py
@@ -1,4 +1,4 @@
-"""What a member's disk held when it was opened."""
+"""The contents of a member's disk, as loaded when it is opened."""
 
 from __future__ import annotations
 
@@ -10,34 +10,36 @@
 from spokeroute.common.ids import MemberId
 from spokeroute.register.cells import Cell, Roster
 
-BORN = b"born/"  # claims' births stand beside the other facts on this disk
+FIRST_SEEN_PREFIX = b"born/"  # keys of claims' first-seen times, in the meta table
 
 
 @dataclass(frozen=True, slots=True)
 class Loaded:
-    """What a disk held when it was opened, and how often it was: a later life of the member's
-    process has a greater number."""
+    """The contents of a disk and the number of times it was started.
+
+    The start count grows with each start, so it orders the incarnations of a member's process.
+    """
 
     member: MemberId
     roster: Roster | None
     votes: bool
     cells: Map[str, Cell]
-    starts: int = 1
-    born: Map[str, int] = Map()  # claims: at which running time of this disk they came
-    ran_ms: int = 0  # how long this disk's processes ran, all lives together
-    copied: Map[str, str] = Map()  # while it joins: old members, and up to which name
+    start_count: int = 1
+    first_seen_ms: Map[str, int] = Map()  # claims, in cumulative uptime
+    total_uptime_ms: int = 0  # of this disk's processes, summed over restarts
+    copy_progress: Map[str, str] = Map()  # while joining: old member -> last name copied
 
 
-def births(txn: Any, meta: Any) -> Map[str, int]:
-    """At which running time of the disk its claims came.
+def read_first_seen(txn: Any, meta: Any) -> Map[str, int]:
+    """The first-seen times of the claims, in cumulative uptime of the disk.
 
     Example:
-        births(txn, meta) == Map()
+        read_first_seen(txn, meta) == Map()
     """
     found: dict[str, int] = {}
     cursor = txn.cursor(db=meta)
-    there = cursor.set_range(BORN)
-    while there and bytes(cursor.key()).startswith(BORN):
-        found[bytes(cursor.key())[len(BORN) :].decode()] = int(bytes(cursor.value()))
+    there = cursor.set_range(FIRST_SEEN_PREFIX)
+    while there and bytes(cursor.key()).startswith(FIRST_SEEN_PREFIX):
+        found[bytes(cursor.key())[len(FIRST_SEEN_PREFIX) :].decode()] = int(bytes(cursor.value()))
         there = cursor.next()
     return Map(found)
--- a/spokeroute/register/membership/accepted_copies.py
+++ b/spokeroute/register/membership/accepted_copies.py
@@ -60,7 +60,7 @@
         case HandOverRegisters() as order:
             return state, handover_messages(state.synced, state.epoch, order)
         case SuspendAccepts(suspended):
-            return replace(state, quiet=suspended), ()
+            return replace(state, stopping=suspended), ()
     return state, ()
 
 
--- a/spokeroute/register/membership/membership.py
+++ b/spokeroute/register/membership/membership.py
@@ -13,10 +13,10 @@
 from spokeroute.common.effects import Effect, Effects, From, Note, Send, Tell, Tick
 from spokeroute.common.ids import ROSTER, Address, Epoch, Ms, NodeId
 from spokeroute.common.replacing import replace
-from spokeroute.register.acceptor.events import Adopt, Adopted, TakeCells
+from spokeroute.register.acceptor.events import Adopt, Adopted, ImportCells
 from spokeroute.register.cells import Roster, pack_roster, read_roster, unpack_roster
 from spokeroute.register.changes import Ask, Outcome, RosterIs, Settled, Swap
-from spokeroute.register.disk.store import StoreWritable
+from spokeroute.register.disk.jobs import StoreWritable
 from spokeroute.register.membership.bootstrap import first_roster, replaced_by_blank
 from spokeroute.register.membership.heartbeats import heartbeat_targets, heartbeats, peer_status
 from spokeroute.register.membership.leave import Leave, leave_decision
@@ -253,7 +253,7 @@
     # The position is stored only up to the last page but one: after a restart the last page is
     # requested again, which then completes the copy.
     progress = ((node, part.last),) if part.last else ()
-    effects: list[Effect] = [Tell("acceptor", TakeCells(part.cells, progress))]
+    effects: list[Effect] = [Tell("acceptor", ImportCells(part.cells, progress))]
     if part.last:
         effects.append(Send(node, CopyAsk(part.epoch, part.last)))
     complete = [m for m in roster.previous if copied.get(m) == "."]
--- a/spokeroute/register/proposer/accepts.py
+++ b/spokeroute/register/proposer/accept_requests.py
@@ -1,9 +1,9 @@
-"""The second half of a round, with as few bytes as its receiver can do with.
+"""Accept requests of a round, sent as patches where the receiver has the base value.
 
-A placement table changes ten times a second and more, by a few lines each time. So a member gets
-the new value as a patch of the one before, which the proposer knows to be chosen; one that promised
-with another value gets it whole. A member that has not got the base leaves a patch unanswered, and
-catches up like one that missed the round.
+A placement table changes ten or more times a second, by a few lines each time. A member is
+therefore sent the new value as a patch of the previous one, which the proposer knows to be chosen.
+A member whose promise named another value is sent the full value. A member without the base does
+not answer a patch, and catches up like one that missed the round.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from spokeroute.transport.messages import Accept, AcceptPatch, Copy, ValuePatch
 
 
-def accept_asks(state: State, roster: Roster, current: Round, offer: Copy) -> tuple[Send, ...]:
-    """What each member is asked to accept.
+def accept_messages(state: State, roster: Roster, current: Round, offer: Copy) -> tuple[Send, ...]:
+    """The accept request for each member of the roster.
 
     Example:
-        accept_asks(state, roster, current, offer)[0].message.copy == offer
+        accept_messages(state, roster, current, offer)[0].message.copy == offer
     """
     whole = Accept(roster.epoch, offer, current.value)
     patch = _patch(state, current, offer)
@@ -36,21 +36,21 @@
 
 
 def _patch(state: State, current: Round, offer: Copy) -> ValuePatch | None:
-    base = state.known.get(offer.name)
+    base = state.known_values.get(offer.name)
     if base is None or base.digest == offer.digest:
         return None
     return make_patch(base.digest, base.value, offer, current.value)
 
 
-def whole_accept(state: AcceptorState, ask: AcceptPatch) -> Accept | None:
-    """A patched ask with its value; None where this member has not got what it is a patch of.
+def expand_accept(state: AcceptorState, ask: AcceptPatch) -> Accept | None:
+    """Expand a patched accept request to the full one; None if this member lacks the base value.
 
     Example:
-        whole_accept(state, AcceptPatch(1, patch)) is None
+        expand_accept(state, AcceptPatch(1, patch)) is None
     """
     patch = ask.patch
     cell = state.cells.get(patch.copy.name, EMPTY)
     same = cell.digest == patch.base
-    base = cell.value if same else state.earlier.find(patch.copy.name, patch.base)
+    base = cell.value if same else state.recent_values.find(patch.copy.name, patch.base)
     value = apply_patch(patch, base) if base else None
     return Accept(ask.epoch, patch.copy, value) if value is not None else None
--- a/spokeroute/register/proposer/hints.py
+++ b/spokeroute/register/proposer/hints.py
@@ -1,4 +1,4 @@
-"""Hints: what was chosen while a member was away, handed to it once it is heard."""
+"""Hinted handoff: values that a member missed are delivered once its heartbeat is received."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from spokeroute.transport.messages import Copy
 
 HINTS_PER_MEMBER = 4096
-HANDED_AT_ONCE = 64  # hints a heartbeat: a narrow link has rounds to carry, too
+HINTS_PER_HEARTBEAT = 64  # leaves room for rounds on a narrow link
 
 
-def hinted(state: State, member: str, copy: Copy) -> State:
-    """With a hint for a member that a chosen value did not reach.
+def add_hint(state: State, member: str, copy: Copy) -> State:
+    """Record a hint for a member that did not accept a chosen value.
 
     Example:
-        hinted(state, "m2", copy).hints["m2"]
+        add_hint(state, "m2", copy).hints["m2"]
     """
     hints = state.hints.get(member, Map())
     if copy.name in hints or len(hints) < HINTS_PER_MEMBER:
@@ -27,19 +27,19 @@
     return replace(state, hints=state.hints.set(member, hints))
 
 
-def hand_hints(state: State, node: NodeId) -> tuple[State, Effects]:
-    """Hand a member that is heard some of what it missed.
+def deliver_hints(state: State, node: NodeId) -> tuple[State, Effects]:
+    """Deliver some of the hints recorded for a member that is reachable again.
 
     Example:
-        state, effects = hand_hints(state, NodeId("m2"))
+        state, effects = deliver_hints(state, NodeId("m2"))
     """
     hints = state.hints.get(node)
     if not hints:
         return state, ()
     names = sorted(hints)
     effects = tuple(
-        Tell("acceptor", HandOverCopy(node, hints[name])) for name in names[:HANDED_AT_ONCE]
+        Tell("acceptor", HandOverCopy(node, hints[name])) for name in names[:HINTS_PER_HEARTBEAT]
     )
-    later = Map({name: hints[name] for name in names[HANDED_AT_ONCE:]})
+    later = Map({name: hints[name] for name in names[HINTS_PER_HEARTBEAT:]})
     rest = state.hints.set(node, later) if later else state.hints.delete(node)
     return replace(state, hints=rest), effects
--- a/tests/test_catch_up_links.py
+++ b/tests/test_catch_up_links.py
@@ -24,7 +24,7 @@
 from spokeroute.register.cells import Cell, Roster, digest_of
 from spokeroute.register.changes import Ask, Read, Swap
 from spokeroute.register.disk.disk import Disk
-from spokeroute.register.disk.store import DiskDone, DiskWrite
+from spokeroute.register.disk.jobs import DiskDone, DiskWrite
 from spokeroute.transport.frames import MAX_FRAME_BYTES, Envelope, encode
 from spokeroute.transport.messages import Accept, Copy, HandOver, Heartbeat
 from tests.sim.changing import (
@@ -198,7 +198,11 @@
     for incarnation in range(4):
         disk = Disk(tmp_path, 16)
         loaded = disk.load()
-        ages = ClaimAges(loaded=loaded.born, earlier_ms=loaded.ran_ms) if kept else ClaimAges()
+        ages = (
+            ClaimAges(loaded=loaded.first_seen_ms, previous_uptime_ms=loaded.total_uptime_ms)
+            if kept
+            else ClaimAges()
+        )
         state = acceptor.start(ME, ROSTER, True, loaded.cells, ages)
         clock_ms = 1_000_000 * (7 - incarnation)  # each process has its own clock
         events: list[tuple[int, object]] = [(at, Tick()) for at in range(0, 10 * MINUTE_MS, 500)]
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -152,7 +152,7 @@
 
 @ONE
 def test_without_the_quick_refusal_callers_wait(each: Cut, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(operator, "ALONE_MS", 0)
+    monkeypatch.setattr(operator, "NO_MAJORITY_WAIT_MS", 0)
     sever(each, "both")
     each.sim.run(KNOWN_MS)
     reply = each.sim.show(0)
@@ -163,7 +163,7 @@
 class Edge(Api):
     """The operators' API without threads: requests to the event loop are answered here."""
 
-    def _loop(self, kind: object) -> Answer:
+    def _post_and_wait(self, kind: object) -> Answer:
         return Answer(503, (), b"asked the core")
 
 
@@ -287,4 +287,4 @@
     node.start()
     reply = sim.apply(configuration(name="alone"))
     sim.run(1_500)
-    assert reply.status == 503 and reply.done_ms - reply.at_ms > proposer.MEETING_MS
+    assert reply.status == 503 and reply.done_ms - reply.at_ms > proposer.STARTUP_CONTACT_MS
--- a/tests/test_known_values.py
+++ b/tests/test_known_values.py
@@ -1,4 +1,4 @@
-"""Promises leave out the value that their proposer has, and no other."""
+"""Promises omit a value only if the proposer already has it."""
 
 from __future__ import annotations
 
@@ -8,7 +8,11 @@
 from immutables import Map
 
 from spokeroute.common.ids import CONFIGURATION, Address, MemberId
-from spokeroute.register.proposer.known_values import digest_known, filled, learned
+from spokeroute.register.proposer.known_values import (
+    known_digest,
+    with_known_bytes,
+    with_known_value,
+)
 from spokeroute.transport.frames import decode
 from spokeroute.transport.messages import Copy, Promise
 from tests.sim.changing import core_of
@@ -25,15 +29,15 @@
 
 
 def watched(sim: Sim) -> list[Promise]:
-    """The promises for the configuration that the network carries from now on."""
+    """Record the promises for the configuration register that cross the network from now on."""
     seen: list[Promise] = []
-    honest = sim.net._carry
+    original = sim.net._carry
 
     def carried(sender: Node, address: Address, frame: bytes) -> Steps:
         message = decode(frame).message
         if isinstance(message, Promise) and message.name == CONFIGURATION and message.ok:
             seen.append(message)
-        return honest(sender, address, frame)
+        return original(sender, address, frame)
 
     sim.net._carry = carried  # type: ignore[method-assign]
     return seen
@@ -51,7 +55,7 @@
     sim.run(200)
 
 
-def test_a_proposer_is_not_sent_the_value_that_it_wrote(core: Sim) -> None:
+def test_promises_omit_the_value_that_the_proposer_wrote(core: Sim) -> None:
     applied(core, 1, "first")
     seen = watched(core)
     applied(core, 1, "second")
@@ -60,7 +64,7 @@
     assert all(each.accepted.digest for each in mine)
 
 
-def test_a_proposer_that_has_another_value_is_sent_the_newest(core: Sim) -> None:
+def test_promises_include_the_newest_value_if_the_proposer_has_another(core: Sim) -> None:
     applied(core, 1, "first")
     applied(core, 2, "second")
     seen = watched(core)
@@ -74,19 +78,19 @@
     assert shown.doc["configuration"]["name"] == "third"
 
 
-def test_a_value_that_was_left_out_is_filled_in_only_by_its_digest() -> None:
+def test_an_omitted_value_is_restored_only_if_its_digest_matches() -> None:
     copy = Copy(CONFIGURATION, 3, "d3", 3, "m1")
-    known = learned(Map(), copy, b"three")
-    assert digest_known(known, CONFIGURATION) == "d3"
-    assert learned(known, Copy("claim/k", 1, "c", 1, "m1"), b"claim") == known
+    known = with_known_value(Map(), copy, b"three")
+    assert known_digest(known, CONFIGURATION) == "d3"
+    assert with_known_value(known, Copy("claim/k", 1, "c", 1, "m1"), b"claim") == known
 
     def promise(digest: str, value: bytes) -> Promise:
         accepted = Copy(CONFIGURATION, 3, digest, 3, "m1")
         return Promise(1, CONFIGURATION, 9, "m2", True, 9, accepted, value, -1)
 
-    left_out = filled(known, promise("d3", b""))
+    left_out = with_known_bytes(known, promise("d3", b""))
     assert left_out is not None and left_out.value == b"three"
-    assert filled(known, promise("other", b"")) is None
-    assert filled(Map(), promise("d3", b"")) is None
+    assert with_known_bytes(known, promise("other", b"")) is None
+    assert with_known_bytes(Map(), promise("d3", b"")) is None
     whole, nothing = promise("other", b"other"), promise("", b"")
-    assert filled(known, whole) is whole and filled(known, nothing) is nothing
+    assert with_known_bytes(known, whole) is whole and with_known_bytes(known, nothing) is nothing
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -33,7 +33,7 @@
     outcomes_line,
     read_outcomes_line,
 )
-from tests.calls_made import call_to
+from tests.call_builders import call_to
 from tests.sim.cluster import Sim
 from tests.test_partial_views import sparse as sparse  # a fixture
 from tools.worth import Told, read_log, reasons
@@ -56,7 +56,7 @@
 
 
 def waited(made: Call, waited_ms: int) -> Call:
-    return replace(made, ask=replace(made.ask, waited_ms=waited_ms))
+    return replace(made, request=replace(made.request, waited_ms=waited_ms))
 
 
 LATE = [
@@ -64,9 +64,9 @@
     (call(), attempt(1_600), False, Reason.PLACEMENT),
     (call(claimed=True), attempt(1_600), False, Reason.CLAIM),
     (call(), attempt(1_100, queued=True), False, Reason.QUEUE),
-    (call(draws=2), attempt(1_100), False, Reason.QUEUE),
-    (call(touched=frozenset({"j"})), attempt(1_100, "starting"), False, Reason.RETRY),
-    (call(resend=True), attempt(), False, Reason.RETRY),
+    (call(send_count=2), attempt(1_100), False, Reason.QUEUE),
+    (call(tried_instances=frozenset({"j"})), attempt(1_100, "starting"), False, Reason.RETRY),
+    (call(was_refused=True), attempt(), False, Reason.RETRY),
     (waited(call(), 1_500), attempt(), False, Reason.ENTRY_BUSY),
     (call(), attempt(), True, Reason.FAR),
     (call(), attempt(), False, Reason.SLOW_RUN),
@@ -213,7 +213,7 @@
         sparse.call(f"/rare/{number}", sparse.exchanges[number])
         sparse.run(70)
     sparse.run(4_000)
-    waits = [x.state("calls").waits.by for x in sparse.exchanges]
+    waits = [x.state("calls").waits.histograms for x in sparse.exchanges]
     placed = [by["placed"] for by in waits if "placed" in by]
     answered = [by["answered"] for by in waits if "answered" in by]
     assert sum(h.count for h in placed) == sum(h.count for h in answered) == 12
--- a/tests/test_own_names.py
+++ b/tests/test_own_names.py
@@ -26,8 +26,8 @@
     pack_placement_table,
 )
 from spokeroute.exchange import holder
+from spokeroute.exchange.call_state import HolderReport
 from spokeroute.exchange.connect import ConnectDone, ConnectJob
-from spokeroute.exchange.entry import HeldNow
 from spokeroute.exchange.held_instance import CONNECT_TIMEOUT_MS
 from spokeroute.exchange.types import SendAttempt
 from spokeroute.register.replica.replica import FreshCopies
@@ -194,7 +194,7 @@
     assert [e.message for e in effects if isinstance(e, Send)] == [
         Forwarded("c1.0", "no", "no room in time", 0, (), b"")
     ]
-    told = [e.event for e in effects if isinstance(e, Tell) and isinstance(e.event, HeldNow)]
+    told = [e.event for e in effects if isinstance(e, Tell) and isinstance(e.event, HolderReport)]
     assert all(not h.failures and not h.confirmed for held in told for h in held.held)
     view = ViewNow((ViewEntry("m1", 1, "h:2", "registry", "", 0),))
     state, _ = holder.step(state, view, now_ms)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -21,12 +21,12 @@
 )
 from spokeroute.dispatch.flare.algorithms import CandidateWorker, Function, LoadSnapshot
 from spokeroute.dispatch.placement.table import UP, Placed
-from spokeroute.exchange import calls, entry
+from spokeroute.exchange import call_state, calls
 from spokeroute.exchange.budget import WINDOW_MS, Budget
 from spokeroute.exchange.pick import pick
-from spokeroute.exchange.successor_lists import SuccessorLists, merged
+from spokeroute.exchange.successor_lists import SuccessorLists, merge_lists
 from spokeroute.exchange.types import LISTS_AGE_MS, Attempt, Call, CallIn, Phase, Tables
-from spokeroute.ledger.entries import Record, entry_text, picture_doc
+from spokeroute.ledger.entries import Record, entry_text, load_snapshot_doc
 from spokeroute.ledger.replay import replay
 from spokeroute.transport.list_messages import Lists, Successors
 from tests.sim.cluster import Sim, configuration
@@ -43,8 +43,8 @@
     route, service = Route("/x", "s"), Service("s", 128, 4)
     row: list[Any] = [instance, worker, "ex1", 1, Ms(0)]
     each = Attempt(*row)
-    call = Call(ASK, route, service, Ms(0), Ms(5_000), Phase.WAITING, Ms(0), once=False)
-    return replace(call, failed=(each,), touched=frozenset((instance,)), maybe=True)
+    call = Call(ASK, route, service, Ms(0), Ms(5_000), Phase.WAITING, Ms(0), at_most_once=False)
+    return replace(call, failed=(each,), tried_instances=frozenset((instance,)), may_have_run=True)
 
 
 def tables(*instances: Placed, evacuated: frozenset[str] = frozenset()) -> Tables:
@@ -56,7 +56,7 @@
     skipped."""
     here = [placed("a", "w1"), placed("b", "w2"), placed("c", "w3"), placed("d", "w4")]
     pushed = Lists(1, 1, 1, 0, (Successors("s", "w1", ("d", "c", "b")),))
-    lists, _ = merged(SuccessorLists(), pushed, Ms(0))
+    lists, _ = merge_lists(SuccessorLists(), pushed, Ms(0))
 
     def head(now: Tables, shunned_ms: dict[str, int], now_ms: int = 0) -> tuple[str, str]:
         got = pick(call_failed_on("w1", "a"), now, lists, {}, shunned_ms, "ex1", now_ms)
@@ -73,7 +73,7 @@
 
 
 def test_lists_of_an_older_term_or_sequence_are_dropped() -> None:
-    state = entry.State(NodeId("ex1"), 1, Budget(0))
+    state = call_state.State(NodeId("ex1"), 1, Budget(0))
     first = Lists(2, 5, 1, 0, (Successors("s", "w1", ("first",)),))
     state, _ = calls.step(state, From(NodeId("m"), Incarnation(1), first), Ms(10))
     kept = state.lists
@@ -90,10 +90,10 @@
     budget = Budget(0)
     now_ms = WINDOW_MS + 1
     for _ in range(100):
-        budget = budget.first("s", now_ms)
+        budget = budget.count_first("s", now_ms)
     sent = 0
     while budget.allows("s", now_ms):
-        budget = budget.second("s", now_ms)
+        budget = budget.count_resend("s", now_ms)
         sent += 1
     assert sent == 20 + 3
     assert not budget.allows("s", now_ms + WINDOW_MS // 2)
@@ -110,13 +110,13 @@
     for _ in range(count):
         budget = Budget(0, 0.2, 58.0, count)
         while budget.allows("s", now_ms):
-            budget = budget.second("s", now_ms)
+            budget = budget.count_resend("s", now_ms)
             total += 1
     assert total <= 58
 
 
 def test_the_number_of_exchanges_comes_with_the_lists() -> None:
-    state = entry.State(NodeId("ex1"), 1, Budget(0, exchanges=0))
+    state = call_state.State(NodeId("ex1"), 1, Budget(0, exchanges=0))
     lists = Lists(2, 5, 1, 0, (), 86)
     state, _ = calls.step(state, From(NodeId("m"), Incarnation(1), lists), Ms(10))
     assert state.budget.exchanges == 86
@@ -173,9 +173,9 @@
     snapshot = LoadSnapshot(
         (("t", 9.0),), (Function("A", "t", 9.0),), (("A", (CandidateWorker("u", ("a",)),)),)
     )
-    good = Record("laaf", picture_doc(snapshot), [["A", "t", ["a"]]], 1)
+    good = Record("laaf", load_snapshot_doc(snapshot), [["A", "t", ["a"]]], 1)
     assert replay([entry_text("1-1-m", good, "")]).difference is None
-    bad = Record("laaf", picture_doc(snapshot), [["A", "t", ["b"]]], 1)
+    bad = Record("laaf", load_snapshot_doc(snapshot), [["A", "t", ["b"]]], 1)
     got = replay([entry_text("1-1-m", bad, "")])
     assert got.difference is not None and "recomputed" in got.difference.reason
 
--- a/tests/test_patches.py
+++ b/tests/test_patches.py
@@ -1,4 +1,4 @@
-"""Patches between versions of the large registers: small, exact, dropped where they don't fit."""
+"""Patches between versions of large registers: small, exact, rejected if they don't apply."""
 
 from __future__ import annotations
 
@@ -35,7 +35,11 @@
     pack_placement_table,
     unpack_placement_table,
 )
-from spokeroute.register.acceptor.earlier_values import KEPT_BYTES, KEPT_VALUES, EarlierValues
+from spokeroute.register.acceptor.recent_values import (
+    MAX_RECENT_BYTES,
+    MAX_RECENT_VALUES,
+    RecentValues,
+)
 from spokeroute.register.cells import digest_of
 from spokeroute.register.packing import pack
 from spokeroute.register.patches import apply_patch, make_patch, runs_of
@@ -88,7 +92,7 @@
 
 
 def test_a_change_of_one_route_takes_a_fraction_of_the_configuration() -> None:
-    """Also with the orders that are remembered behind it, and the number before it."""
+    """Also with the recorded orders that follow the configuration and the number before it."""
     base = with_metadata(configured(7, 4_000), b"", AppliedOrder("order-7", 1, "c1"))
     value = with_metadata(configured(9, 5_000), base, AppliedOrder("order-9", 2, "c2"))
     patch = patched(CONFIGURATION, base, value)
@@ -107,7 +111,7 @@
 
 
 @pytest.mark.parametrize("damage", ["base", "runs", "head", "digest", "name"])
-def test_a_patch_that_does_not_fit_brings_nothing(damage: str) -> None:
+def test_a_patch_that_does_not_apply_is_rejected(damage: str) -> None:
     base, value = table(1), table(2, changed=3)
     patch = patched(FLOOR, base, value)
     other = table(3, changed=5)
@@ -122,7 +126,7 @@
     assert apply_patch(patch, other) is None
 
 
-def test_nothing_is_patched_where_the_whole_is_shorter_or_packed_otherwise() -> None:
+def test_no_patch_where_the_full_value_is_shorter_or_packed_differently() -> None:
     base = table(1)
     assert make_patch("d", base, copy_of(FLOOR, b""), b"") is None
     few = pack_placement_table(PlacementTable(Term(3), 2, (placed(900),)))
@@ -134,7 +138,7 @@
 
 
 @given(LINES, LINES)
-def test_runs_make_the_target_of_any_base(base: list[bytes], target: list[bytes]) -> None:
+def test_runs_produce_the_target_from_any_base(base: list[bytes], target: list[bytes]) -> None:
     old, new = b"".join(base), b"".join(target)
     lines = old.splitlines(keepends=True)
     made = b"".join(
@@ -143,17 +147,17 @@
     assert made == new
 
 
-def test_earlier_values_are_bounded_by_count_and_by_bytes() -> None:
-    kept = EarlierValues()
-    for number in range(3 * KEPT_VALUES):
-        kept = kept.noted(FLOOR, str(number), b"value")
-    assert len(kept.kept) == KEPT_VALUES and not kept.find(FLOOR, "0")
-    assert kept.find(FLOOR, str(3 * KEPT_VALUES - 1)) == b"value"
-    assert not kept.find(CONFIGURATION, str(3 * KEPT_VALUES - 1))
-    large = bytes(KEPT_BYTES // 2)
+def test_recent_values_are_bounded_by_count_and_by_bytes() -> None:
+    kept = RecentValues()
+    for number in range(3 * MAX_RECENT_VALUES):
+        kept = kept.with_value(FLOOR, str(number), b"value")
+    assert len(kept.kept) == MAX_RECENT_VALUES and not kept.find(FLOOR, "0")
+    assert kept.find(FLOOR, str(3 * MAX_RECENT_VALUES - 1)) == b"value"
+    assert not kept.find(CONFIGURATION, str(3 * MAX_RECENT_VALUES - 1))
+    large = bytes(MAX_RECENT_BYTES // 2)
     for number in range(5):
-        kept = kept.noted(CONFIGURATION, f"large {number}", large)
-    assert kept.size_bytes <= KEPT_BYTES and kept.find(CONFIGURATION, "large 4")
+        kept = kept.with_value(CONFIGURATION, f"large {number}", large)
+    assert kept.size_bytes <= MAX_RECENT_BYTES and kept.find(CONFIGURATION, "large 4")
 
 
 def test_a_table_reads_back_and_what_did_not_change_is_the_same_object() -> None:
@@ -165,6 +169,6 @@
     assert same == 590 and before.instances[3] != after.instances[3]
 
 
-def test_a_table_that_was_packed_in_one_line_is_read_as_well() -> None:
+def test_a_table_packed_on_one_line_is_read() -> None:
     rows = [[getattr(placed(1), field.name) for field in fields(Placed)]]
     assert unpack_placement_table(pack(json.dumps([3, 9, rows]).encode())).instances == (placed(1),)
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -1,4 +1,4 @@
-"""Queues of holders: who may wait in one, who leaves it, and who is told so at once."""
+"""Queues of holders: which calls may join, which are recalled, and which are refused at once."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from spokeroute.common.ids import Incarnation, Ms, NodeId, Version
 from spokeroute.dispatch.configuration.configuration import Programs, Table, Thresholds
 from spokeroute.dispatch.placement.table import STARTING, UP, Placed
-from spokeroute.exchange import calls, entry, holder, requeue
-from spokeroute.exchange.backlog import CROWD_CALLS, CROWD_MS, Backlog
+from spokeroute.exchange import call_state, calls, holder, requeue
+from spokeroute.exchange.backlog import MIN_QUEUE_CALLS, MIN_QUEUE_MS, Backlog
 from spokeroute.exchange.budget import Budget
+from spokeroute.exchange.call_transitions import NO_ROOM_LIMIT_MS
 from spokeroute.exchange.held_instance import (
     QUEUED_NOTICE_MS,
     DispatchedAttempt,
     HeldInstance,
     QueuedCall,
 )
-from spokeroute.exchange.moves import TURNED_MS
 from spokeroute.exchange.reasons import BUSY, LEFT_QUEUE, NO_ROOM_IN_TIME
 from spokeroute.exchange.types import Call, Phase, Revoke, Tables
 from spokeroute.transport.call_messages import (
@@ -30,7 +30,7 @@
     RoomAsk,
     RoomTold,
 )
-from tests.calls_made import call_to
+from tests.call_builders import call_to
 
 ENTRY = NodeId("ex1")
 HOLDER = NodeId("ex2")
@@ -48,23 +48,25 @@
 
 
 def held(*queue: QueuedCall, run_ms: float = 500.0) -> HeldInstance:
-    """An instance of one slot where a call runs."""
+    """An instance with one slot, which is taken by a running call."""
     handed = Map({"runs": DispatchedAttempt("runs", ENTRY, Ms(0))})
     return HeldInstance(placed("i"), queue=queue, in_flight=handed, run_ms=run_ms)
 
 
-def entry_with(call: Call, *instances: Placed, outstanding: Map[str, int] = ONE) -> entry.State:
+def entry_with(
+    call: Call, *instances: Placed, outstanding: Map[str, int] = ONE
+) -> call_state.State:
     tables = Tables(by_service=Map({"s": instances}), by_id=Map({p.id: p for p in instances}))
-    attempt_of = Map({name: call.ask.slot.index for name in call.attempts})
-    state = entry.State(ENTRY, 1, Budget(0), tables=tables, attempt_of=attempt_of)
-    return entry.put(replace(state, outstanding=outstanding), call)
+    attempt_of = Map({name: call.request.slot.index for name in call.attempts})
+    state = call_state.State(ENTRY, 1, Budget(0), tables=tables, slot_of_attempt=attempt_of)
+    return call_state.store_call(replace(state, outstanding=outstanding), call)
 
 
 def no(reason: str) -> From:
     return From(HOLDER, Incarnation(1), Forwarded("c1.0", "no", reason, 0, (), b""))
 
 
-def test_a_queue_takes_in_only_what_gets_its_turn_well_within_its_wait() -> None:
+def test_a_call_joins_a_queue_only_if_its_turn_comes_well_within_its_wait() -> None:
     def without_room(left_ms: int, run_ms: float = 500.0) -> HeldInstance | None:
         last = waiting("c4", left_ms)
         queue = (*(waiting(f"c{n}") for n in range(4)), last)
@@ -79,10 +81,12 @@
         "c2",
         "c3",
     ]
-    assert without_room(200, run_ms=0.0) is None  # no run ended yet: taken in on trust
+    assert (
+        without_room(200, run_ms=0.0) is None
+    )  # no run has ended yet: there is no estimate, so it may join
 
 
-def test_an_entry_hears_once_that_a_call_waits_but_not_while_its_instance_starts() -> None:
+def test_a_queued_call_is_reported_once_but_not_while_its_instance_starts() -> None:
     instance = held(waiting("c"))
     call = instance.queue[0]
     assert not instance.should_notify_entry(call, Ms(QUEUED_NOTICE_MS - 1))
@@ -90,11 +94,11 @@
     assert not instance.should_notify_entry(
         replace(call, entry_notified=True), Ms(QUEUED_NOTICE_MS)
     )
-    starts = replace(instance, placed=placed("i", state=STARTING))
-    assert not starts.should_notify_entry(call, Ms(QUEUED_NOTICE_MS))
+    starting = replace(instance, placed=placed("i", state=STARTING))
+    assert not starting.should_notify_entry(call, Ms(QUEUED_NOTICE_MS))
 
 
-def test_only_what_is_still_in_the_queue_is_given_back() -> None:
+def test_only_a_call_that_is_still_queued_is_given_back() -> None:
     state = holder.State(HOLDER, 1, instances=Map({"i": held(waiting("queued"))}))
     same, effects = holder.step(
         state, From(ENTRY, Incarnation(1), ForwardDrop("runs", queued_only=True)), Ms(300)
@@ -109,58 +113,58 @@
     assert after.instances["i"].queue == () and "runs" in after.instances["i"].in_flight
 
 
-def test_room_is_asked_for_only_where_it_may_be_and_not_at_every_tick() -> None:
+def test_room_is_requested_only_where_it_is_likely_and_not_at_every_tick() -> None:
     call = call_to(HOLDER, sent_ms=Ms(0), slot=SlotId(1, 1))
-    here = (placed("i"), placed("other"))
+    instances = (placed("i"), placed("other"))
     at_ms = Ms(250)
-    full = entry_with(call, *here, outstanding=Map({"i": 1, "other": 1}))
-    full = requeue.queued(full, "c1.0", at_ms)
-    assert requeue.ask_room(full, at_ms) == (full, ())
-    spare = entry_with(call, here[0], placed("other", routed=False))
-    spare = requeue.queued(spare, "c1.0", at_ms)
-    assert requeue.ask_room(spare, at_ms) == (spare, ())
-    free = entry_with(call, *here)
-    assert requeue.ask_room(free, at_ms) == (free, ())  # it may as well run
-    free = requeue.queued(free, "c1.0", at_ms)
-    asked, effects = requeue.ask_room(free, at_ms)
+    full = entry_with(call, *instances, outstanding=Map({"i": 1, "other": 1}))
+    full = requeue.mark_queued(full, "c1.0", at_ms)
+    assert requeue.request_room(full, at_ms) == (full, ())
+    unrouted = entry_with(call, instances[0], placed("other", routed=False))
+    unrouted = requeue.mark_queued(unrouted, "c1.0", at_ms)
+    assert requeue.request_room(unrouted, at_ms) == (unrouted, ())
+    free = entry_with(call, *instances)
+    assert requeue.request_room(free, at_ms) == (free, ())  # the call may be running
+    free = requeue.mark_queued(free, "c1.0", at_ms)
+    asked, effects = requeue.request_room(free, at_ms)
     assert effects == (Send(HOLDER, RoomAsk("other")),)
-    again_ms = Ms(at_ms + requeue.ROOM_ASK_MS)
-    assert requeue.ask_room(asked, Ms(again_ms - 1))[1] == ()
-    assert requeue.ask_room(asked, again_ms)[1] == effects
+    again_ms = Ms(at_ms + requeue.ROOM_REQUEST_INTERVAL_MS)
+    assert requeue.request_room(asked, Ms(again_ms - 1))[1] == ()
+    assert requeue.request_room(asked, again_ms)[1] == effects
 
 
-def test_a_holder_tells_of_room_only_where_a_call_would_not_wait() -> None:
+def test_a_holder_reports_room_only_if_a_call_would_not_wait() -> None:
     def told(instance: HeldInstance, tables: Tables) -> object:
         state = holder.State(HOLDER, 1, tables=tables, instances=Map({"i": instance}))
         return holder.step(state, From(ENTRY, Incarnation(1), RoomAsk("i")), Ms(300))[1]
 
-    here = placed("i", limit=2)
+    instances = placed("i", limit=2)
     table = Table(Version(1), "", {}, {}, Thresholds(), Programs())
-    fresh = Tables(Ms(300), table=table, by_id=Map({"i": here}))
-    one = replace(held(), placed=here)
+    fresh = Tables(Ms(300), table=table, by_id=Map({"i": instances}))
+    one = replace(held(), placed=instances)
     assert told(one, fresh) == (Send(ENTRY, RoomTold("i", 1)),)
     assert told(replace(one, queue=(waiting("c"),)), fresh) == ()
-    assert told(replace(one, placed=placed("i")), fresh) == ()  # its one slot is taken
+    assert told(replace(one, placed=placed("i")), fresh) == ()  # its only slot is taken
     assert told(one, replace(fresh, proved_ms=Ms(-(10**6)))) == ()
 
 
-def test_a_call_is_asked_back_once_for_each_place_that_is_told() -> None:
+def test_one_call_is_recalled_for_each_free_place() -> None:
     first = call_to(HOLDER, sent_ms=Ms(0), slot=SlotId(1, 1))
     at_ms = Ms(250)
     runs = entry_with(first, placed("i"), placed("other"))
-    assert requeue.ask_back(runs, "other", 1) == (runs, ())
-    state = requeue.queued(runs, "c1.0", at_ms)
-    assert requeue.ask_back(state, "other", 0) == (state, ())
-    assert requeue.ask_back(state, "i", 1) == (state, ())
+    assert requeue.recall_queued(runs, "other", 1) == (runs, ())
+    state = requeue.mark_queued(runs, "c1.0", at_ms)
+    assert requeue.recall_queued(state, "other", 0) == (state, ())
+    assert requeue.recall_queued(state, "i", 1) == (state, ())
     asked, effects = calls.step(state, From(HOLDER, Incarnation(1), RoomTold("other", 1)), at_ms)
     assert effects == (Send(HOLDER, ForwardDrop("c1.0", queued_only=True)),)
-    assert asked.calls[1].bound_for == "other"
-    assert requeue.ask_back(asked, "other", 1) == (asked, ())
+    assert asked.calls[1].requeue_target == "other"
+    assert requeue.recall_queued(asked, "other", 1) == (asked, ())
 
 
-def test_a_call_that_left_a_queue_goes_to_the_room_and_costs_no_second_send() -> None:
+def test_a_recalled_call_goes_to_the_free_place_and_is_no_resend() -> None:
     call = call_to(HOLDER, sent_ms=Ms(0), slot=SlotId(1, 1))
-    call = replace(call, draws=1, bound_for="other")
+    call = replace(call, send_count=1, requeue_target="other")
     state = entry_with(call, placed("i"), placed("other"))
     table = Table(Version(1), "", {}, {}, Thresholds(), Programs())
     state = replace(state, tables=replace(state.tables, proved_ms=Ms(300), table=table))
@@ -170,37 +174,37 @@
     assert isinstance(sent, Send) and isinstance(sent.message, Forward)
     assert sent.message.instance == "other"
     moved = after.calls[1]
-    assert (moved.touched, moved.failed, moved.resend) == (frozenset(), (), False)
+    assert (moved.tried_instances, moved.failed, moved.was_refused) == (frozenset(), (), False)
     assert after.budget == Budget(0)
 
 
-def test_an_entry_without_any_answer_gives_up_on_what_holders_turn_away() -> None:
-    """Its own callers got nothing of the service lately: that is no sign of room."""
+def test_an_entry_node_without_recent_answers_refuses_what_holders_refuse() -> None:
+    """Its own callers got no recent answers of the service, which is no sign of room."""
     for reason in (BUSY, NO_ROOM_IN_TIME):
         call = call_to(HOLDER, sent_ms=Ms(0), slot=SlotId(1, 1))
         first, effects = calls.step(entry_with(call, placed("i")), no(reason), Ms(3))
         assert effects == () and first.calls[1].phase == Phase.WAITING
         again = replace(first.calls[1], attempts=call.attempts, phase=Phase.TRYING)
         state = entry_with(again, placed("i"))
-        later, effects = calls.step(state, no(reason), Ms(3 + TURNED_MS - 1))
+        later, effects = calls.step(state, no(reason), Ms(3 + NO_ROOM_LIMIT_MS - 1))
         assert effects == () and 1 in later.calls
-        later, effects = calls.step(state, no(reason), Ms(3 + TURNED_MS))
+        later, effects = calls.step(state, no(reason), Ms(3 + NO_ROOM_LIMIT_MS))
         assert isinstance(effects[0], Reply) and effects[0].answer.status == 503
         assert "Retry-After" in dict(effects[0].answer.headers) and 1 not in later.calls
-        starts = entry_with(again, placed("i"), placed("new", state=STARTING))
-        assert calls.step(starts, no(reason), Ms(3 + TURNED_MS))[1] == ()
+        starting = entry_with(again, placed("i"), placed("new", state=STARTING))
+        assert calls.step(starting, no(reason), Ms(3 + NO_ROOM_LIMIT_MS))[1] == ()
 
 
-def test_a_backlog_counts_what_is_open_and_reckons_only_with_a_crowd_that_stands() -> None:
+def test_a_backlog_estimates_a_wait_only_for_a_lasting_queue() -> None:
     backlog = Backlog().answered("s", Ms(0))
-    for _ in range(CROWD_CALLS):
+    for _ in range(MIN_QUEUE_CALLS):
         backlog = backlog.opened("s", Ms(1_000))
-    assert backlog.count("s") == CROWD_CALLS
-    assert backlog.expect_ms("s", 1.0, Ms(1_000 + CROWD_MS - 1)) == 0
-    assert backlog.expect_ms("s", 1.0, Ms(1_000 + CROWD_MS)) == CROWD_CALLS * 2_000
-    assert backlog.expect_ms("s", 2.0, Ms(1_000 + CROWD_MS)) == CROWD_CALLS * 1_000
+    assert backlog.count("s") == MIN_QUEUE_CALLS
+    assert backlog.expected_wait_ms("s", 1.0, Ms(1_000 + MIN_QUEUE_MS - 1)) == 0
+    assert backlog.expected_wait_ms("s", 1.0, Ms(1_000 + MIN_QUEUE_MS)) == MIN_QUEUE_CALLS * 2_000
+    assert backlog.expected_wait_ms("s", 2.0, Ms(1_000 + MIN_QUEUE_MS)) == MIN_QUEUE_CALLS * 1_000
     fewer = backlog.closed("s")
-    assert fewer.expect_ms("s", 1.0, Ms(1_000 + CROWD_MS)) == 0
-    for _ in range(CROWD_CALLS):
+    assert fewer.expected_wait_ms("s", 1.0, Ms(1_000 + MIN_QUEUE_MS)) == 0
+    for _ in range(MIN_QUEUE_CALLS):
         fewer = fewer.closed("s")
     assert fewer.count("s") == 0
--- a/tests/test_silent_holders.py
+++ b/tests/test_silent_holders.py
@@ -8,8 +8,8 @@
 from spokeroute.common.ids import Ms, NodeId
 from spokeroute.common.replacing import replace
 from spokeroute.exchange.budget import Budget
+from spokeroute.exchange.call_state import State, store_call
 from spokeroute.exchange.calls import step
-from spokeroute.exchange.entry import State, put
 from spokeroute.exchange.silent_holders import (
     MAX_TIMEOUT_MS,
     MIN_TIMEOUT_MS,
@@ -18,7 +18,7 @@
     SilentHolders,
     check_holders,
 )
-from tests.calls_made import call_to
+from tests.call_builders import call_to
 from tests.sim.cluster import Sim
 from tests.test_scenarios import clean
 
@@ -121,7 +121,7 @@
 def test_time_in_which_this_process_was_busy_extends_timeouts() -> None:
     call = call_to("ex2", sent_ms=Ms(1_000), slot=SlotId(1, 1))
     state = replace(
-        put(State(NodeId("ex1"), 1, Budget(Ms(0), 0.2, 9.0, 3, 10_000)), call),
+        store_call(State(NodeId("ex1"), 1, Budget(Ms(0), 0.2, 9.0, 3, 10_000)), call),
         silence=silence_after(5, 5, 5),
     )
     state, _ = step(state, Tick(20), Ms(1_000 + PING_AFTER_MS))
--- a/tools/model/actions.py
+++ b/tools/model/actions.py
@@ -18,7 +18,7 @@
 from spokeroute.common.ids import Address, MemberId, Ms
 from spokeroute.register.cells import unpack_roster
 from spokeroute.register.changes import Ask
-from spokeroute.register.disk.store import DiskWrite
+from spokeroute.register.disk.jobs import DiskWrite
 from spokeroute.register.membership.leave import Leave, LeaveStatus
 from spokeroute.transport import messages as m
 from tools.model.disk import Disk
@@ -329,7 +329,9 @@
 def _due_ms(member: Member) -> Ms:
     """When the proposer does something next: a round that waited begins, or one is given up."""
     due = [
-        each.starts_ms if each.starts_ms > member.now_ms else min(each.ends_ms, each.op.deadline_ms)
+        each.starts_ms
+        if each.starts_ms > member.now_ms
+        else min(each.retry_at_ms, each.op.deadline_ms)
         for each in member.proposer.rounds.values()
     ]
     return min(due)
