--- a/spokeroute/register/acceptor/probe_replies.py
+++ b/spokeroute/register/acceptor/probe_replies.py
@@ -41,11 +41,17 @@
             patches.append(patch)
         elif len(value) <= MAX_INLINE_BYTES:
             values.append(FetchGot(copy, value))
-    told = without_known_copies(probe.named, copies)
+    reported_copies = without_known_copies(probe.named, copies)
     same = bool(state.absent) and probe.absent == absent_fingerprint(state.absent)
     absent = () if same else state.absent
     ack = ProbeAck(
-        probe.nonce, roster.epoch, told, tuple(values), absent, tuple(patches), absent_same=same
+        probe.nonce,
+        roster.epoch,
+        reported_copies,
+        tuple(values),
+        absent,
+        tuple(patches),
+        absent_same=same,
     )
     return (Send(node, ack),)
 
--- a/spokeroute/registry/disk_executor.py
+++ b/spokeroute/registry/disk_executor.py
@@ -47,7 +47,7 @@
             pause(OPEN_RETRY_S)
 
 
-def _text(fault: Exception) -> str:
+def _error_text(fault: Exception) -> str:
     return f"{type(fault).__name__}: {fault}"
 
 
@@ -77,7 +77,7 @@
         try:
             self.disk.write(job)
         except Exception as fault:  # lmdb raises many exception types
-            self.report(actor, DiskFailed(_text(fault)))
+            self.report(actor, DiskFailed(_error_text(fault)))
             return
         self.report(actor, DiskDone(job.batch))
 
@@ -100,7 +100,7 @@
         except Exception as fault:
             # The registers share the environment, which may be unusable after this error.
             self.report(actor, LedgerFailed(low, high, job.ack_to))
-            self.report("acceptor", DiskFailed(_text(fault)))
+            self.report("acceptor", DiskFailed(_error_text(fault)))
         else:
             self.report(actor, LedgerWritten(low, high, job.ack_to))
 
@@ -118,7 +118,7 @@
         except DiskError as fault:
             self.report(actor, ReopenFailed(str(fault)))
         except Exception as fault:
-            self.report(actor, ReopenFailed(_text(fault)))
+            self.report(actor, ReopenFailed(_error_text(fault)))
         else:
             self.report(actor, StoreReopened(found.roster, found.votes, found.cells))
 
--- a/tests/test_store_full.py
+++ b/tests/test_store_full.py
@@ -237,7 +237,7 @@
     def answered(status: str, headers: object) -> None:
         statuses.append(status)
 
-    monkeypatch.setattr("spokeroute.register.disk.disk.READER_WAIT_S", 0.01)
+    monkeypatch.setattr("spokeroute.register.disk.disk.READER_LOCK_TIMEOUT_S", 0.01)
     api(environ, answered)
     with disk.environment_lock:
         body = b"".join(api(environ, answered))
