--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -144,9 +144,8 @@
     peer_loop.loop.incarnations = {peer_loop.address: (Incarnation(7), Incarnation(6))}
     peer_loop.server.close()
     peer_loop.loop.send(peer_loop.address, frame("c1.0"))
-    peer_loop.loop.incarnations = {
-        peer_loop.address: (Incarnation(8),)
-    }  # heard before the refusal is read
+    # A new incarnation is heard before the refusal is read.
+    peer_loop.loop.incarnations = {peer_loop.address: (Incarnation(8),)}
     me = Me(NodeId("ex1"), Incarnation(1), Address("h:1"), "exchange", "z")
     process = Process(me, Recorder())  # type: ignore[arg-type]
     for _ in range(100):
