--- a/tools/model/patches_membership.py
+++ b/tools/model/patches_membership.py
@@ -29,7 +29,7 @@
 
     def change(state: Any, event: Any) -> tuple[Any, Any]:
         if isinstance(event, From) and isinstance(event.message, CopyAsk):
-            return replace(state, whole=True), event
+            return replace(state, holds_all_accepted=True), event
         return state, event
 
     return step_patch(change)
